--- a/client_proxy/cli/instance_factory.py
+++ b/client_proxy/cli/instance_factory.py
@@ -61,7 +61,7 @@
             persistent_hooks=(Weights(),) if endpoint_source is not None else (),
         )
         if self.agreed is not None:
-            self.daemon.engine.has_lease = self.agreed.leased
+            self.daemon.engine.has_lease = self.agreed.may_serve_now
             self.daemon.engine.on_request_ended = self.agreed.rollout.record_outcome
         self._saver: WarmStateSaver | None = None
         if file.learned:
--- a/client_proxy/consensus/policy_source.py
+++ b/client_proxy/consensus/policy_source.py
@@ -163,7 +163,7 @@
 
     # Leases and versions
 
-    def leased(self) -> bool:
+    def may_serve_now(self) -> bool:
         """Tells whether requests may be served now. Uses without a lease are counted and logged."""
         return self._lease_monitor.may_serve()
 
--- a/tests/capacity/test_reads.py
+++ b/tests/capacity/test_reads.py
@@ -8,7 +8,7 @@
 from benchmarks.capacity.formulas import READS_A_CHANGE
 from client_proxy.consensus.messages import Version
 from client_proxy.consensus.transport import Validate
-from tests.consensus.transports import Instance, run_with_fleet, until
+from tests.consensus.transports import Instance, run_with_fleet, wait_until
 
 
 def counting_validator(member: int, reads: Counter[int]) -> Validate:
@@ -25,9 +25,9 @@
         reads: Counter[int] = Counter()
         for member, instance in fleet.items():
             instance.transport._validate = counting_validator(member, reads)
-        await until(lambda: len(fleet[1].transport.node.lease_requesters) >= 4)
+        await wait_until(lambda: len(fleet[1].transport.node.lease_requesters) >= 4)
         fleet[1].transport.propose(b"second", "two")
-        await until(lambda: all(instance.activated[-1] == (2, b"second") for instance in fleet.values()))
+        await wait_until(lambda: all(instance.activated[-1] == (2, b"second") for instance in fleet.values()))
         assert reads == dict.fromkeys(fleet, READS_A_CHANGE)
 
     run_with_fleet(tmp_path, test)
--- a/tests/consensus/test_transport.py
+++ b/tests/consensus/test_transport.py
@@ -18,7 +18,7 @@
 from client_proxy.consensus.node import MAX_CHANGE_BYTES
 from client_proxy.consensus.policy_source import change_name
 from client_proxy.consensus.transport import MAX_CONCURRENT_VALIDATIONS
-from tests.consensus.transports import FIRST_BODY, Instance, make_instance, run_with_fleet, until
+from tests.consensus.transports import FIRST_BODY, Instance, make_instance, run_with_fleet, wait_until
 
 ACCEPTORS = (AcceptorId(1, 1),)
 
@@ -26,9 +26,9 @@
 def test_a_change_reaches_all_with_its_body_and_one_that_cannot_use_it_ends_it(tmp_path: Path) -> None:
     async def test(fleet: dict[int, Instance]) -> None:
         author, follower, other_author = fleet[1], fleet[4], fleet[2]
-        await until(lambda: len(author.transport.node.lease_requesters) >= 3)
+        await wait_until(lambda: len(author.transport.node.lease_requesters) >= 3)
         author.transport.propose(b"second", "two")
-        await until(lambda: all(instance.activated[-1] == (2, b"second") for instance in fleet.values()))
+        await wait_until(lambda: all(instance.activated[-1] == (2, b"second") for instance in fleet.values()))
         assert [result.outcome for result in author.transport.results] == ["decided"]
         # An instance without an acceptor stores it, too: it begins with it even if nobody can be reached.
         stored = follower.store.decided()
@@ -38,7 +38,7 @@
         digest = other_author.store.save_body(b"bad for the others")
         transport = other_author.transport
         transport._execute(transport.node.propose(now_ms(), digest, "three", (1, 4)))
-        await until(lambda: bool(transport.results))
+        await wait_until(lambda: bool(transport.results))
         result = transport.results[0]
         assert result.outcome == "refused"
         assert set(result.rejections.values()) == {"bad"}
@@ -80,7 +80,7 @@
 
         author.transport._execute = execute_and_die  # type: ignore[method-assign]
         author.transport._execute(author.transport.node.propose(now_ms(), digest, "two", ()))
-        await until(lambda: all(fleet[member].activated[-1] == (2, b"second") for member in (2, 3, 4)))
+        await wait_until(lambda: all(fleet[member].activated[-1] == (2, b"second") for member in (2, 3, 4)))
         assert author.transport._closed
         assert author.activated == [(1, FIRST_BODY)]
 
@@ -96,7 +96,7 @@
             request = ValidationRequest(f"change {number}", version)
             transport._execute(transport.node.handle(now_ms(), 4, request))
         assert len(transport._tasks) <= MAX_CONCURRENT_VALIDATIONS
-        await until(lambda: not transport._tasks)
+        await wait_until(lambda: not transport._tasks)
         assert victim.store.body(digest_of(FIRST_BODY)) == FIRST_BODY
         assert len(list((tmp_path / "m1").glob("body-*"))) == 1
 
--- a/tests/consensus/transports.py
+++ b/tests/consensus/transports.py
@@ -55,7 +55,7 @@
     return Instance(transport, store, activated)
 
 
-async def until(holds: Callable[[], bool]) -> None:
+async def wait_until(holds: Callable[[], bool]) -> None:
     """Waits for a condition, with a limit that never decides a verdict."""
     async with asyncio.timeout(LIMIT_S):
         while not holds():  # noqa: ASYNC110 - state of several instances, which has no event to wait for
@@ -79,7 +79,7 @@
             instance.transport.start()
         try:
             all_started = [(1, FIRST_BODY)]
-            await until(lambda: all(instance.activated == all_started for instance in fleet.values()))
+            await wait_until(lambda: all(instance.activated == all_started for instance in fleet.values()))
             await test(fleet)
         finally:
             for instance in fleet.values():
