--- a/client_proxy/consensus/__init__.py
+++ b/client_proxy/consensus/__init__.py
@@ -1,7 +1,8 @@
-"""Fleet-wide agreement on one policy: Paxos votes on versions, and leases to act by them.
+"""Consensus of a fleet on its policy: Paxos decides on each version, and leases permit instances to use it.
 
-`messages`, `acceptor`, `lease_holder`, `proposer` and `node` are the protocol. They have no I/O, no clock and
-no randomness of their own: the time, messages and a seed are arguments, and what is to be done is returned as
-actions. `store` is the disk, `transport` the network, `policy_source` what the proxy uses. `model_checker`
-and `simulated_cluster` run the same protocol code without either.
+`messages`, `acceptor`, `lease_holder`, `proposer` and `node` implement the protocol. They do no I/O, read no
+clock and draw no random seed: the time, the messages and a seed are arguments, and what has to be done is
+returned as a list of actions. `store` keeps state on the disk, `transport` sends and receives over the
+network, and `policy_source` is the interface to the proxy. `model_checker` and `simulated_cluster` run the
+same protocol code without a disk and a network.
 """
--- a/client_proxy/consensus/acceptor.py
+++ b/client_proxy/consensus/acceptor.py
@@ -1,13 +1,13 @@
-"""An acceptor: promises, votes and grants of leases.
+"""The acceptor role: promises, votes and lease grants.
 
-The vote on each next version is one decree of Paxos (Lamport, "Paxos Made Simple", 2001). Leases (Gray and
-Cheriton, 1989) need no clock at the acceptor: it grants one on version n only as long as it has not voted for
-version n+1. A lease on n needs a majority, and so does n+1, so that one acceptor is in both, and it granted
-before it voted. Whoever holds a lease on n therefore requested it before n+1 was chosen, and counts it from
-the request. One length of a lease after n+1 was chosen, by the holder's own clock, nobody acts by n any more,
-and nobody acted by n+1 before it was chosen.
+Each version is decided by one instance of Paxos (Lamport, "Paxos Made Simple", 2001). Leases (Gray and
+Cheriton, 1989) need no clock at the acceptor: it grants a lease on version n only as long as it has not voted
+for version n+1. Both a lease on n and the decision on n+1 need a majority, so at least one acceptor took part
+in both, and it granted the lease before it voted. Therefore every holder of a lease on n requested it before
+n+1 was chosen, and the lease runs from the request. Once n+1 has been chosen for the length of one lease, as
+measured by the holder's clock, no instance uses n any more; and no instance used n+1 before it was chosen.
 
-Each change of `AcceptorState` is returned as a `Persist` ahead of the messages that depend on it. If
+Each change of `AcceptorState` is returned as a `Persist` action before the messages that depend on it. If
 persisting fails, the caller must not send those messages, and must not use the acceptor until its state has
 been loaded again.
 """
@@ -43,14 +43,14 @@
 
 
 class AcceptorState(ArrayStruct, frozen=True):
-    """All of an acceptor that has to outlive its process.
+    """The state of an acceptor that must survive a restart of the process.
 
     Attributes:
-        acceptor_id: Whose state it is.
+        acceptor_id: The acceptor that the state belongs to.
         decided: The latest decided version that the acceptor knows.
-        promised_ballot: The highest ballot promised in the vote on the next version.
-        accepted_ballot: The ballot of its latest vote on the next version.
-        accepted_version: What it voted for in that ballot; None: it has not voted.
+        promised_ballot: The highest ballot that it has promised for the next version.
+        accepted_ballot: The ballot of its latest vote for the next version.
+        accepted_version: The version that it voted for in that ballot; None if it has not voted.
     """
 
     acceptor_id: AcceptorId
@@ -62,14 +62,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Action: write the state to the disk and sync it before any later action is carried out."""
+    """Action: write the state to the disk and sync it before executing any later action."""
 
     state: AcceptorState
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Action: send the message to the instance with the number `to`."""
+    """Action: send the message to the instance whose number is `to`."""
 
     to: int
     message: Message
@@ -78,16 +78,17 @@
 Action = Persist | Send
 
 Sign = Callable[[bytes], bytes]
-"""Signs with the key of this instance."""
+"""Returns the signature of the content by this instance's key."""
 
 Verify = Callable[[AcceptorId, bytes, bytes], bool]
-"""Tells whether the last argument is the acceptor's signature of the content."""
+"""Returns whether the last argument is the acceptor's valid signature of the content."""
 
 
 def is_decided(message: Decided, before: Version, verify: Verify) -> bool:
-    """Tells whether the message proves the version after `before`.
+    """Returns whether the message proves that its version is the successor of `before`.
 
-    It does if the version has the next number and a majority of the acceptors of `before` signed for it.
+    It does if the version has the next number and a majority of the acceptors of `before` signed votes for
+    it.
     """
     if message.version.number != before.number + 1:
         return False
@@ -103,7 +104,7 @@
 
 
 class Acceptor:
-    """The acceptor of one instance. Whether it has a vote depends on the decided version."""
+    """The acceptor of one instance. The latest decided version lists the acceptors that may vote."""
 
     def __init__(self, state: AcceptorState, sign: Sign, verify: Verify) -> None:
         self.state = state
@@ -112,26 +113,26 @@
 
     @property
     def acceptor_id(self) -> AcceptorId:
-        """The instance's number and the identity of its durable state."""
+        """The acceptor's id: the instance's number and the id of its durable state."""
         return self.state.acceptor_id
 
     @property
     def decided(self) -> Version:
-        """The latest decided version that it knows."""
+        """The latest decided version that the acceptor knows."""
         return self.state.decided.version
 
     @property
     def can_vote(self) -> bool:
-        """Whether it is one of those that vote on the next version."""
+        """Whether this acceptor may vote on the next version."""
         return self.acceptor_id in self.decided.acceptors
 
     @property
     def pending_version(self) -> Version | None:
-        """The version that it has voted for and does not know to be decided."""
+        """The version that it has voted for without knowing yet whether it was decided."""
         return self.state.accepted_version
 
     def handle(self, sender: int, message: Message) -> list[Action]:
-        """Returns what follows from a message, which may be late, duplicated or forged."""
+        """Handles a message, which may be late, duplicated or forged, and returns the resulting actions."""
         match message:
             case Decided():
                 return self.learn(message)
@@ -144,15 +145,15 @@
         return []
 
     def learn(self, message: Decided) -> list[Action]:
-        """Takes over a decided version if the message proves it."""
+        """Adopts a decided version if the message proves it, and returns the resulting actions."""
         if not is_decided(message, self.decided, self._verify):
             return []
-        # Promises and votes were for this number; those for the next begin with none.
+        # The promise and the vote were for this number; there are none for the next number yet.
         self.state = AcceptorState(self.acceptor_id, message)
         return [Persist(self.state)]
 
-    def _correct_number(self, sender: int, number: int) -> list[Action] | None:
-        """Returns the answer to a message about another version than the next; None: it is about the next."""
+    def _answer_if_not_next(self, sender: int, number: int) -> list[Action] | None:
+        """Returns the answer to a message about another version than the next; None if it is the next one."""
         if number <= self.decided.number:
             return [Send(sender, self.state.decided)]
         if number > self.decided.number + 1:
@@ -160,9 +161,9 @@
         return None
 
     def _handle_prepare(self, sender: int, message: Prepare) -> list[Action]:
-        correction = self._correct_number(sender, message.number)
-        if correction is not None or not self.can_vote:
-            return correction or []
+        answer = self._answer_if_not_next(sender, message.number)
+        if answer is not None or not self.can_vote:
+            return answer or []
         state = self.state
         if message.ballot < state.promised_ballot:
             return [Send(sender, Nack(message.number, message.ballot, state.promised_ballot))]
@@ -178,14 +179,14 @@
 
     def _handle_accept(self, sender: int, message: Accept) -> list[Action]:
         number = message.version.number
-        correction = self._correct_number(sender, number)
-        if correction is not None or not self.can_vote:
-            return correction or []
+        answer = self._answer_if_not_next(sender, number)
+        if answer is not None or not self.can_vote:
+            return answer or []
         state = self.state
         if message.ballot < state.promised_ballot:
             return [Send(sender, Nack(number, message.ballot, state.promised_ballot))]
         if message.ballot == state.accepted_ballot and message.version != state.accepted_version:
-            return []  # Two versions in one ballot: the proposer is faulty.
+            return []  # The proposer is faulty: it proposes two versions in one ballot.
         self.state = msgspec.structs.replace(
             state,
             promised_ballot=message.ballot,
@@ -202,7 +203,7 @@
         if message.number > self.decided.number:
             return [Send(sender, CatchUp(self.decided.number))]
         if not self.can_vote or message.digest != self.decided.digest:
-            # An instance of another fleet, or with another first version, would act by what nobody agreed on.
+            # An instance of another fleet, or with another first version, has a policy never decided here.
             return []
         if self.pending_version is not None:
             return [Send(sender, LeaseDenied(message.number, message.nonce))]
--- a/client_proxy/consensus/body_transfer.py
+++ b/client_proxy/consensus/body_transfer.py
@@ -1,7 +1,7 @@
-"""Transfer of policies' bodies over TCP.
+"""Transfer of policy bodies over TCP.
 
-The client sends a line with the digest in hexadecimal and reads until the end of the stream. It accepts only
-what has that digest, so that the server need not be trusted.
+The client sends a line with the body's digest in hexadecimal and reads until the end of the stream. It
+accepts only content that has this digest, so it does not need to trust the server.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 async def fetch_body(address: Address, digest: str) -> bytes | None:
-    """Returns the body with this digest; None: it could not be fetched from there."""
+    """Returns the body with this digest, or None if it could not be fetched from the address."""
     try:
         async with asyncio.timeout(TRANSFER_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*address, limit=MAX_BODY_BYTES)
@@ -34,7 +34,7 @@
 
 
 async def _read_to_end(reader: asyncio.StreamReader) -> bytes:
-    """Reads until the end of the stream, or until it is longer than a body may be."""
+    """Reads until the end of the stream, or until the content exceeds the size limit of a body."""
     content = await reader.read(MAX_BODY_BYTES + 1)
     while (more := await reader.read(MAX_BODY_BYTES + 1)) and len(content) <= MAX_BODY_BYTES:
         content += more
@@ -42,7 +42,7 @@
 
 
 class BodyServer:
-    """Serves the bodies of a store."""
+    """A TCP server for the bodies in a store."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
@@ -50,7 +50,7 @@
         self._open_requests = 0
 
     async def start(self, listen: Address) -> None:
-        """Listens on the address. Raises OSError if it cannot be bound."""
+        """Starts to listen on the address. Raises OSError if it cannot be bound."""
         self._server = await asyncio.start_server(self.serve, *listen, limit=MAX_REQUEST_BYTES)
 
     def close(self) -> None:
@@ -59,7 +59,7 @@
             self._server.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers the request of one connection; with nothing, if the body is not here."""
+        """Handles the one request of a connection. The response is empty if the body is not stored here."""
         self._open_requests += 1
         try:
             if self._open_requests > MAX_CONCURRENT_REQUESTS:
@@ -71,7 +71,7 @@
                     writer.write(content)
                     await writer.drain()
         except (OSError, TimeoutError, ValueError):
-            pass  # The client is gone, too slow, or sent no line: it asks another instance.
+            pass  # The client disconnected, was too slow or sent no line; it will try another instance.
         finally:
             self._open_requests -= 1
             writer.close()
--- a/client_proxy/consensus/bootstrap.py
+++ b/client_proxy/consensus/bootstrap.py
@@ -1,7 +1,7 @@
-"""How an instance, a fleet, an epoch and an acceptor begin.
+"""The initial state of an epoch and of an acceptor.
 
-The first version of an epoch is a file that every instance has; nobody votes on it. An acceptor's state is
-created by an operator, once at each instance that has one.
+The first version of an epoch comes from a file that every instance has; there is no vote on it. An operator
+creates the state of an acceptor, once at each instance that has one.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from client_proxy.consensus.signer import Peer
 from client_proxy.consensus.store import Store
 
-MAX_EPOCH = 1000  # an acceptor of the first version has its epoch as storage id
-VERSIONS_PER_EPOCH = 2**20  # the next epoch's numbers are above all of them
+MAX_EPOCH = 1000  # the storage id of an acceptor of the first version is its epoch; random ids are above
+VERSIONS_PER_EPOCH = 2**20  # numbers reserved for an epoch, so that those of the next one are higher
 MAX_STORAGE_ID = 2**30
 RENEWALS_PER_LEASE = 4
 
 
 def lease_settings(table: AgreementTable) -> LeaseSettings:
-    """Returns the times of leases for these settings."""
+    """Returns the lease times for the `[agreement]` settings."""
     return LeaseSettings(
         lease_ms=table.lease_ms,
         renew_ms=table.lease_ms / RENEWALS_PER_LEASE,
@@ -38,7 +38,7 @@
 
 
 def read_peers(table: AgreementTable) -> dict[int, Peer]:
-    """Returns the instances with an acceptor, or a future one. Raises ValueError if a key is not base64."""
+    """Returns the instances that have or may get an acceptor. Raises ValueError if a key is not base64."""
     return {
         entry.member: Peer(
             entry.member, read_address(entry.address), base64.b64decode(entry.public, validate=True)
@@ -50,8 +50,8 @@
 def first_version(table: AgreementTable, content: bytes) -> Decided:
     """Returns the first version of the table's epoch, which needs no votes.
 
-    It is the same at every instance, as its digest shows. Acceptors of another epoch have other ids, and its
-    versions other numbers.
+    Its digest shows whether it is the same at every instance. In another epoch acceptors have other ids and
+    versions have other numbers.
     """
     epoch = table.generation
     acceptors = tuple(AcceptorId(entry.member, epoch) for entry in table.seat if entry.votes)
@@ -64,21 +64,22 @@
 ) -> str:
     """Creates the state of this instance's acceptor.
 
-    An acceptor that lost its state and began with an empty one of the same id could vote twice. So after a
-    loss it needs `new_storage_id`, and has to be voted in.
+    An acceptor that lost its state and started with an empty one under the same id could vote twice. After a
+    loss it therefore needs a new storage id (`new_storage_id`), and may vote only once a decided
+    version includes it.
 
     Args:
         table: The instance's settings.
-        folder: Of its settings file.
+        folder: The folder of its settings file.
         member: The instance's number.
-        new_storage_id: Draw another id than that of the first version.
+        new_storage_id: Draw an id that differs from the one in the first version.
 
     Returns:
-        What was done, for people.
+        A message for the operator that says what was done.
 
     Raises:
-        BootstrapError: The instance has no acceptor, or its state is there already.
-        OSError: The state cannot be read or stored.
+        BootstrapError: The instance has no acceptor, or its state exists already.
+        OSError: The state cannot be read or written.
     """
     entries = {entry.member: entry for entry in table.seat}
     if member not in entries:
@@ -91,7 +92,7 @@
         if can_vote or not new_storage_id:
             raise BootstrapError(f"it has its memory already: {stored.acceptor_id.storage_id}")
     if new_storage_id or not entries[member].votes:
-        # Never one of the first version: those begin with a vote.
+        # Above the ids in the first version, whose acceptors have a vote from the start.
         storage_id = random.SystemRandom().randrange(MAX_EPOCH + 1, MAX_STORAGE_ID)
         decided = store.decided() or first
         store.save_state(AcceptorState(AcceptorId(member, storage_id), decided))
--- a/client_proxy/consensus/changes.py
+++ b/client_proxy/consensus/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the policy that are proposed at an instance: under way, ended, and their acceptors."""
+"""Policy changes proposed at an instance: their state, their results, and checks of changed acceptors."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 
 
 class ChangeOutcome(StrEnum):
-    """How a change ended. The values are those of the control socket."""
+    """How a change ended. The values appear in answers of the control socket."""
 
     DECIDED = "decided"
     REJECTED = "refused"
     GIVEN_UP = "given up"
-    SUPERSEDED = "another's"  # Another change got the version's number.
+    SUPERSEDED = "another's"  # Another change was decided under the version's number.
     WITHDRAWN = "withdrawn"
-    VALIDATED = "could"  # A dry run: all that answered could act by it.
+    VALIDATED = "could"  # A dry run: every instance that answered could use it.
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeResult:
-    """Action: report how a change ended that was proposed here.
+    """Action: report how a change that was proposed at this instance ended.
 
     Attributes:
-        change: Its name.
+        change: The change's name.
         outcome: How it ended.
-        rejections: Instances that could not act by it, with their reasons.
-        unanswered: Instances that did not answer whether they could.
-        accepted_by: Instances that could act by it.
-        number: Of the version that it is, or would have been.
+        rejections: Reasons of the instances that could not use the change, by instance number.
+        unanswered: Instances that did not answer the validation request.
+        approved_by: Instances that answered that they could use it.
+        number: The number of the version that the change became or would have become.
     """
 
     change: str
     outcome: ChangeOutcome
     rejections: dict[int, str] = field(default_factory=dict)
     unanswered: tuple[int, ...] = ()
-    accepted_by: tuple[int, ...] = ()
+    approved_by: tuple[int, ...] = ()
     number: int = 0
 
     def describe(self) -> str:
-        """Returns the outcome, who rejected the change and who did not answer, for the log."""
+        """Returns a log text: the outcome, the rejections, and the instances that did not answer."""
         parts = [str(self.outcome)]
         parts += [f"rejected by {member}: {reason}" for member, reason in sorted(self.rejections.items())]
         if self.unanswered:
@@ -54,39 +54,39 @@
 
 @dataclass
 class Attempt:
-    """A change, or the recovery of another's vote, that is under way here.
+    """A change that is in progress at this instance, or the completion of a vote that another one began.
 
     Attributes:
         proposal: The current ballot.
-        deadline_ms: When the ballot's current phase is over.
-        ballot_count: Ballots so far, the current one included.
-        wanted: The version that is proposed; None: only another's vote is finished.
-        retry_ms: When to ask validators that have not answered once more.
-        votes_requested: Whether an acceptor was asked to vote for what is wanted.
-        first_proposal: The first ballot, which has the validators' answers.
+        deadline_ms: When the current phase of the ballot times out.
+        first_proposal: The first ballot, which holds the validators' answers.
+        ballot_count: Ballots so far, including the current one.
+        proposed_version: The proposed version; None if only the vote of another proposer is completed.
+        retry_ms: When to ask validators again that have not answered.
+        votes_requested: Whether any acceptor was asked to vote for `proposed_version`.
     """
 
     proposal: Proposal
     deadline_ms: float
     first_proposal: Proposal
     ballot_count: int = 1
-    wanted: Version | None = None
+    proposed_version: Version | None = None
     retry_ms: float = NEVER_MS
     votes_requested: bool = False
 
     def outcome_if_decided(self, decided: Version | None) -> ChangeOutcome:
-        """Returns how the change ended, given the version that was decided under its number."""
-        return ChangeOutcome.DECIDED if decided == self.wanted else ChangeOutcome.SUPERSEDED
+        """Returns the outcome of the change, given the version that was decided under its number."""
+        return ChangeOutcome.DECIDED if decided == self.proposed_version else ChangeOutcome.SUPERSEDED
 
 
 def check_acceptor_change(before: tuple[AcceptorId, ...], after: tuple[AcceptorId, ...]) -> None:
-    """Checks that acceptors change one at a time.
+    """Checks that at most one acceptor is added, removed or replaced.
 
-    With two new ones at once a majority may consist of instances that are not up, and nothing would ever be
-    decided again.
+    If two were added at once, every majority might need an instance that is down, and no version could ever
+    be decided again.
 
     Raises:
-        AcceptorChangeError: They must not change like this.
+        AcceptorChangeError: The change of acceptors is not allowed.
     """
     members = [acceptor_id.member for acceptor_id in after]
     if len(set(members)) != len(members):
--- a/client_proxy/consensus/control_answers.py
+++ b/client_proxy/consensus/control_answers.py
@@ -1,6 +1,7 @@
-"""Answers of the control socket about versions and changes.
+"""Builds the answers of the control socket about versions and changes.
 
-Their keys are part of the control socket's interface and older than the names inside this package.
+The keys belong to the control socket's interface and must not change; they differ from the names in this
+package, which were chosen later.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 
 
 def acceptors_answer(acceptors: tuple[AcceptorId, ...]) -> list[list[int]]:
-    """Returns acceptors as pairs of an instance's number and its storage id."""
+    """Returns the acceptors as pairs of instance number and storage id."""
     return [[acceptor_id.member, acceptor_id.storage_id] for acceptor_id in acceptors]
 
 
 def version_answer(version: Version, has_body: bool) -> dict[str, Any]:
-    """Returns one line of the history of versions."""
+    """Returns a version as an entry of the version history."""
     return {
         "version": version.number,
         "digest": version.digest,
@@ -33,14 +34,14 @@
 
 
 def result_answer(result: ChangeResult) -> dict[str, Any]:
-    """Returns how a change ended."""
+    """Returns the result of a change."""
     return {
         "change": result.change,
         "what": str(result.outcome),
         "version": result.number,
         "refused": {str(member): reason for member, reason in result.rejections.items()},
         "silent": list(result.unanswered),
-        "can": list(result.accepted_by),
+        "can": list(result.approved_by),
     }
 
 
@@ -54,16 +55,16 @@
     rollout: dict[str, Any] | None,
     results: list[ChangeResult],
 ) -> dict[str, Any]:
-    """Returns the state of one instance's part in the protocol.
+    """Returns the consensus status of one instance.
 
     Args:
-        node: The protocol.
-        now_ms: The time.
-        active_for_s: Since the last activation of a version.
-        stale_uses: Requests and attempts that no lease covered.
-        overlap_ms: As in `LeaseSettings`.
-        rollout: The state of a rollout; None: there is none.
-        results: The latest changes that were proposed here and have ended.
+        node: The instance's node.
+        now_ms: The time on the instance's monotonic clock.
+        active_for_s: Time since the last activation of a version.
+        stale_uses: Number of requests and attempts served without a lease.
+        overlap_ms: `LeaseSettings.overlap_ms`.
+        rollout: The state of the rollout in progress; None if there is none.
+        results: The results of the latest changes that were proposed at this instance.
     """
     lease_holder, acceptor, attempt = node.lease_holder, node.acceptor, node.attempt
     latest = lease_holder.latest.version
@@ -76,11 +77,13 @@
         "newest": latest.number,
         "digest": latest.digest,
         "seats": acceptors_answer(latest.acceptors),
-        "stray": lease_holder.is_unrecognized,
+        "stray": lease_holder.has_unrecognized_version,
         "unfit": {str(number): reason for number, reason in lease_holder.rejected.items()},
         "overlap_ms": round(overlap_ms),
         "heard": list(node.live_members(now_ms)),
-        "under_way": attempt.wanted.change if attempt is not None and attempt.wanted is not None else None,
+        "under_way": attempt.proposed_version.change
+        if attempt is not None and attempt.proposed_version is not None
+        else None,
         "rollout": rollout,
         "changes": [result_answer(result) for result in results],
     }
--- a/client_proxy/consensus/disaster_recovery.py
+++ b/client_proxy/consensus/disaster_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery after the loss of a majority of the acceptors: a new epoch from what one instance stored."""
+"""Disaster recovery after the loss of a majority of acceptors: a new epoch from one instance's state."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoverableState:
-    """What can be recovered from one instance.
+    """The state that can be recovered from one instance.
 
     Attributes:
-        version: Number of the latest decided version that it stored.
-        digest: Of that version's body.
-        body: That body.
-        pending_change: Requester and reason of a later version that its acceptor has voted for; empty: none.
+        version: The number of the latest decided version that it stored.
+        digest: The digest of that version's body.
+        body: The body of that version.
+        pending_change: Requester and reason of a later version that its acceptor voted for; empty if none.
     """
 
     version: int
@@ -31,7 +31,7 @@
 
 
 def inspect_state(table: AgreementTable, folder: Path) -> RecoverableState:
-    """Returns what an instance with these settings stored.
+    """Returns the recoverable state of the instance with these settings.
 
     Raises:
         RecoveryError: The body of its latest version is not stored.
@@ -47,14 +47,16 @@
     newest = max(candidates, key=lambda candidate: candidate.version.number).version
     body = store.body(newest.digest)
     if body is None:
-        raise RecoveryError(f"the body of version {newest.number} is not kept here: look at another instance")
+        raise RecoveryError(
+            f"the body of version {newest.number} is not stored here: inspect another instance"
+        )
     pending = state.accepted_version if state is not None else None
     pending_change = f"{pending.requester}: {pending.reason}" if pending is not None else ""
     return RecoverableState(newest.number, newest.digest, body, pending_change)
 
 
 def archive_state(table: AgreementTable, folder: Path) -> str:
-    """Renames the folder of stored state, so that no acceptor of the old epoch votes in the new one.
+    """Renames the folder of stored state so that no acceptor of the old epoch votes in the new one.
 
     Returns:
         The folder's new name.
--- a/client_proxy/consensus/errors.py
+++ b/client_proxy/consensus/errors.py
@@ -1,6 +1,6 @@
 """Errors of the consensus package.
 
-They are `ValueError`s, as the callers outside the package catch those for any input that is not usable.
+They derive from `ValueError`, which callers outside the package catch for any invalid input.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 
 class ProposalError(ConsensusError):
-    """A change cannot be proposed, withdrawn or rolled back here, or not now."""
+    """A change cannot be proposed, withdrawn or rolled back at this instance or at this time."""
 
 
 class AcceptorChangeError(ConsensusError):
-    """The acceptors of a proposed version must not follow those of the version before."""
+    """The acceptors of a proposed version are not a permitted change of the current ones."""
 
 
 class BootstrapError(ConsensusError):
-    """The stored state of an acceptor must not be created here."""
+    """The state of an acceptor cannot be created at this instance."""
 
 
 class RecoveryError(ConsensusError):
-    """The stored state is not sufficient to start a new epoch from it."""
+    """The stored state is not sufficient to start a new epoch."""
--- a/client_proxy/consensus/lease_holder.py
+++ b/client_proxy/consensus/lease_holder.py
@@ -1,10 +1,11 @@
-"""Which version an instance acts by, and until when.
-
-Times are milliseconds of the instance's own monotonic clock and are passed in. A decided version is prepared
-first (its body fetched and checked, everything made ready beside the running one). Then a lease on it is
-requested, and only with that lease it becomes the active version. Until then the version before stays active,
-as long as its own lease runs. A process that was stopped continues as if nothing had happened and would act
-by an expired lease; so `leased_version` is called at each use, with the clock read right before.
+"""The lease holder role: which version an instance uses, and until when.
+
+Times are milliseconds of the instance's own monotonic clock, passed in by the caller. A decided version is
+prepared first: its body is fetched and validated while the previous version is in use. Then a lease on it is
+requested, and only that lease makes it the active version. Until then the previous version stays active as
+long as its own lease lasts. A process that was stopped (SIGSTOP) does not notice the pause and could go on
+with an expired lease; so `leased_version` has to be called at each use, with the clock read immediately
+before.
 """
 
 from __future__ import annotations
@@ -24,28 +25,28 @@
     majority,
 )
 
-MAX_PAST_VERSIONS = 64  # kept in memory for instances that are behind; older ones are read from the disk
-NO_VERSION = -1  # in the place of a version's number
+MAX_PAST_VERSIONS = 64  # kept in memory for instances that lag behind; older ones are read from the disk
+NO_VERSION = -1  # stands for the number of a version where there is none
 NEVER_MS = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class PrepareVersion:
-    """Action: fetch the version's body, make it ready, and call `on_prepared`."""
+    """Action: fetch and validate the version's body, then call `on_prepared`."""
 
     version: Version
 
 
 @dataclass(frozen=True, slots=True)
 class ActivateVersion:
-    """Action: act by this version from now on."""
+    """Action: use this version from now on."""
 
     version: Version
 
 
 @dataclass(frozen=True, slots=True)
 class SendPastVersion:
-    """Action: send the decided version of this number from the disk, if it is there."""
+    """Action: send the decided version with this number from the disk, if it is stored there."""
 
     to: int
     number: int
@@ -56,13 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseSettings:
-    """Times of leases.
+    """Lease times, and whether to serve without a lease.
 
     Attributes:
         lease_ms: Length of a lease.
-        renew_ms: Between two requests.
-        clock_error: The largest error of a clock's rate.
-        serve_stale: Serve without a lease. What `overlap_ms` promises does not hold then.
+        renew_ms: Time between two lease requests.
+        clock_error: Largest error of a clock's rate, as a share.
+        serve_stale: Serve without a lease, too. The bound `overlap_ms` does not hold then.
     """
 
     lease_ms: float = 3000.0
@@ -72,33 +73,33 @@
 
     @property
     def overlap_ms(self) -> float:
-        """How long after the first use of a version an older one may still be used elsewhere."""
+        """Longest time that any instance may use an older version after the first use of a newer one (ms)."""
         return self.lease_ms / (1.0 - self.clock_error)
 
 
 class LeaseHolder:
-    """Learns decided versions, requests leases on them and knows the active one.
+    """Learns decided versions, requests leases on them and tracks the active one.
 
     Attributes:
         member: The instance's number.
-        latest: The latest decided version that is known here.
-        active_version: The version that was activated last; None: none was.
-        prepared_number: Number of the latest version that is ready.
-        rejected: The latest version that this instance cannot act by, and why.
-        lagging_acceptors: Acceptors that do not know the latest version, and the number that they know.
+        latest: The latest decided version that this instance knows.
+        active_version: The version that was activated last; None if none was.
+        prepared_number: The number of the latest version that is prepared.
+        rejected: The number of the latest version that this instance cannot use, with the reason.
+        lagging_acceptors: The latest number known to each acceptor that does not know `latest`, by member.
     """
 
     def __init__(
         self, member: int, decided: Decided, settings: LeaseSettings, verify: Verify, incarnation: int
     ) -> None:
-        """Begins without a lease.
+        """Starts without a lease.
 
         Args:
             member: The instance's number.
-            decided: The latest decided version that was stored here.
-            settings: Times of leases.
+            decided: The latest decided version that is stored at this instance.
+            settings: Lease times.
             verify: Checks an acceptor's signature.
-            incarnation: Drawn at the start, so that no grant to an earlier run of the process counts.
+            incarnation: Random number of this run of the process; grants to an earlier run do not count.
         """
         self.member, self._settings, self._verify = member, settings, verify
         self.latest = decided
@@ -118,36 +119,36 @@
     # State
 
     def leased_version(self, now_ms: float) -> Version | None:
-        """Returns the version that a lease covers at this moment; None: requests are rejected at once."""
+        """Returns the version that a lease covers at this time; None if there is no valid lease."""
         return self.active_version if now_ms < self._lease_until_ms else None
 
     def serving_version(self, now_ms: float) -> Version | None:
-        """Returns the version that requests are served by, which needs no lease with `serve_stale`."""
+        """Returns the version to serve requests with, or None; with `serve_stale` it needs no lease."""
         return self.active_version if self._settings.serve_stale else self.leased_version(now_ms)
 
     @property
     def lease_until_ms(self) -> float:
-        """When the lease on the active version ends."""
+        """Time at which the lease on the active version ends."""
         return self._lease_until_ms
 
     @property
-    def is_unrecognized(self) -> bool:
+    def has_unrecognized_version(self) -> bool:
         """Whether a majority of the acceptors does not know the latest version that is stored here.
 
-        The folder belongs to another fleet then, or the acceptors' state was lost; the instance cannot tell
-        which, and gets no lease.
+        Either the folder belongs to another fleet or the acceptors' state was lost. The instance cannot tell
+        these cases apart, and gets no lease.
         """
         return len(self.lagging_acceptors) >= majority(len(self.latest.version.acceptors))
 
     @property
     def timer_due_ms(self) -> float:
-        """When to call `on_timer` next."""
+        """Time at which to call `on_timer` next."""
         return self._requested_ms + self._settings.renew_ms
 
     # Events
 
     def on_timer(self, now_ms: float) -> list[Action]:
-        """Requests a lease on the latest version if that is ready, else on the active one."""
+        """Requests a lease on the latest version if it is prepared, else on the active one."""
         newest = self.latest.version
         if self._started_ms is None:
             self._started_ms = now_ms
@@ -155,8 +156,8 @@
         actions += self._prepare(newest)
         ready = newest if self.prepared_number == newest.number else self.active_version
         self._requested_ms = now_ms
-        # With no version ready a grant counts for nothing, but the request brings back news of later
-        # versions.
+        # Without a prepared version a grant has no effect, but acceptors answer the request with any later
+        # version.
         self._requested_number = ready.number if ready is not None else NO_VERSION
         self._nonce += 1
         self._granted_by = set()
@@ -164,7 +165,7 @@
             self.lagging_acceptors.clear()
         requested = ready if ready is not None else newest
         request = LeaseRequest(requested.number, self._nonce, requested.digest)
-        # To the acceptors of the latest version known here; these tell of later ones.
+        # Sent to the acceptors of the latest version known here, which answer with any later version.
         return [*actions, *(Send(acceptor_id.member, request) for acceptor_id in newest.acceptors)]
 
     def _activate_without_lease(self, now_ms: float, newest: Version, started_ms: float) -> list[Action]:
@@ -172,7 +173,7 @@
             return []
         if self.active_version == newest:
             return []
-        # Wait as long as those that could grant a lease may still do so.
+        # Wait for the length of a lease first: acceptors may still grant one.
         if now_ms < max(self._lease_until_ms, started_ms) + self._settings.lease_ms:
             return []
         self.active_version = newest
@@ -187,7 +188,7 @@
         return [PrepareVersion(newest)]
 
     def on_prepared(self, now_ms: float, number: int, reason: str = "") -> list[Action]:
-        """Takes note that a version is ready, or that this instance cannot act by it for `reason`."""
+        """Records that a version is prepared, or why it cannot be used; returns the resulting actions."""
         self._preparing_number = NO_VERSION
         if reason:
             self.rejected = {number: reason}
@@ -196,12 +197,12 @@
         return self.on_timer(now_ms)
 
     def handle(self, now_ms: float, sender: int, message: Message) -> list[Action]:
-        """Returns what follows from a message."""
+        """Handles a message and returns the resulting actions."""
         match message:
             case LeaseGrant():
                 return self._handle_grant(sender, message)
             case Decided() if message.version.number > self.latest.version.number + 1:
-                # Only the version in between proves it.
+                # It can only be proved with the acceptors of the version before it, which is unknown here.
                 return [Send(sender, CatchUp(self.latest.version.number))]
             case Decided():
                 return self.learn(now_ms, message)
@@ -212,11 +213,11 @@
         return []
 
     def learn(self, now_ms: float, message: Decided) -> list[Action]:
-        """Takes over the next decided version if the acceptors of the one before it prove it."""
+        """Adopts the next decided version if votes of the current acceptors prove it; returns the actions."""
         if not is_decided(message, self.latest.version, self._verify):
             return []
         self.latest = message
-        # Members that the new version has removed no longer say whether a majority knows it.
+        # Members without an acceptor in the new version do not count when a majority is checked.
         members = {acceptor_id.member for acceptor_id in message.version.acceptors}
         self.lagging_acceptors = {
             member: number for member, number in self.lagging_acceptors.items() if member in members
@@ -230,11 +231,11 @@
         acceptor_members = {acceptor_id.member for acceptor_id in latest.acceptors}
         if message.latest_number < latest.number and sender in acceptor_members:
             self.lagging_acceptors[sender] = message.latest_number
-        wanted_number = message.latest_number + 1
-        wanted = self._past_versions.get(wanted_number)
-        if wanted is not None:
-            return [Send(sender, wanted)]
-        return [SendPastVersion(sender, wanted_number)] if wanted_number < latest.number else []
+        next_number = message.latest_number + 1
+        next_decided = self._past_versions.get(next_number)
+        if next_decided is not None:
+            return [Send(sender, next_decided)]
+        return [SendPastVersion(sender, next_number)] if next_number < latest.number else []
 
     def _handle_grant(self, sender: int, message: LeaseGrant) -> list[Action]:
         if message.nonce != self._nonce or message.number != self._requested_number:
@@ -242,7 +243,7 @@
         newest = self.latest.version
         if message.acceptor_id.member != sender:
             return []
-        # A lease on n counts by the acceptors that decide on n+1.
+        # A lease on n needs a majority of the acceptors that decide on n+1.
         is_newest = message.number == newest.number
         acceptors = newest.acceptors if is_newest else self._acceptors_of(message.number)
         if message.acceptor_id not in acceptors:
@@ -253,7 +254,7 @@
         return self._extend_lease(message.number, newest)
 
     def _extend_lease(self, number: int, newest: Version) -> list[Action]:
-        # Counted from when the lease was requested, not from when the grant came.
+        # The lease runs from its request, not from the arrival of the grant.
         until_ms = self._requested_ms + self._settings.lease_ms
         if self.active_version is not None and self.active_version.number == number:
             self._lease_until_ms = max(self._lease_until_ms, until_ms)
--- a/client_proxy/consensus/lease_monitor.py
+++ b/client_proxy/consensus/lease_monitor.py
@@ -1,4 +1,4 @@
-"""Whether requests may be served at a moment, and what is served without a lease."""
+"""Checks before each use of the policy whether requests may be served."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class LeaseMonitor:
-    """Checks the lease at each use, and counts and logs uses without one.
+    """Checks the lease at each use, and counts and logs uses without a lease.
 
     Attributes:
-        stale_uses: Requests and attempts that no lease covered, where operators allow them.
+        stale_uses: Number of requests and attempts served without a lease, which `stale = "serve"` allows.
     """
 
     def __init__(self, lease_holder: LeaseHolder) -> None:
@@ -24,23 +24,23 @@
         self.stale_uses = 0
 
     def may_serve(self) -> bool:
-        """Tells whether requests may be served now, with the clock read for it."""
+        """Reads the clock and returns whether requests may be served now."""
         now = now_ms()
         if self._lease_holder.leased_version(now) is not None:
-            self._note_leased()
+            self._end_stale_period()
             return True
         if self._lease_holder.serving_version(now) is None:
             return False
-        self._note_stale()
+        self._count_stale_use()
         return True
 
-    def _note_leased(self) -> None:
+    def _end_stale_period(self) -> None:
         if self._stale_since_s is not None:
-            log.info("deciding under a lease again, after %.1f s", time.monotonic() - self._stale_since_s)
+            log.info("serving under a lease again, after %.1f s", time.monotonic() - self._stale_since_s)
             self._stale_since_s = None
 
-    def _note_stale(self) -> None:
+    def _count_stale_use(self) -> None:
         self.stale_uses += 1
         if self._stale_since_s is None:
             self._stale_since_s = time.monotonic()
-            log.warning("serving without a lease, by what may be an old version")
+            log.warning("serving without a lease: the version in use may be out of date")
--- a/client_proxy/consensus/messages.py
+++ b/client_proxy/consensus/messages.py
@@ -1,8 +1,8 @@
-"""Messages between instances, as types that msgspec encodes and decodes.
+"""Messages between instances, encoded and decoded with msgspec.
 
-A message is encoded as a MessagePack array, its type's tag first. Field names are therefore not on the wire,
-but the order of fields and the tags are. `decode` returns exactly one of the types of `Message` or raises.
-Bounds are part of the types: a value that exceeds them is not decoded.
+A message is encoded as a MessagePack array that starts with the tag of its type. Field names are not on the
+wire, but the order of the fields and the tags are. `decode` returns one of the types of `Message` or raises.
+The types contain the bounds of the values: a message with a value out of bounds is not decoded.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from client_proxy.consensus.errors import MessageDecodeError
 
-MAX_MESSAGE_BYTES = 1200  # of an encoded message; bodies of policies are transferred apart
+MAX_MESSAGE_BYTES = 1200  # of an encoded message; policy bodies are transferred separately, over TCP
 MAX_ACCEPTORS = 7
 MAX_ERROR_CHARACTERS = 200
 
@@ -27,18 +27,18 @@
 
 
 class ArrayStruct(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """Base of all that is encoded as an array: messages, their parts and stored state."""
+    """Base class of everything encoded as an array: messages, their parts and stored state."""
 
 
 class AcceptorId(ArrayStruct, frozen=True, order=True):
-    """An acceptor: an instance together with one durable state of it.
+    """The id of an acceptor: an instance's number and the id of its durable state.
 
-    An instance that lost its state draws another `storage_id`. It is a new acceptor then, without a vote
-    until it has been voted in.
+    An instance that lost its state draws another `storage_id`. It is a new acceptor then, and may not vote
+    until a decided version includes it.
 
     Attributes:
         member: The instance's number.
-        storage_id: Identifies the durable state.
+        storage_id: The id of the durable state.
     """
 
     member: Number
@@ -53,12 +53,12 @@
 
     Attributes:
         number: Consecutive within an epoch.
-        digest: Of the policy's body, BLAKE2b in hexadecimal.
-        acceptors: Those that vote on the next version.
+        digest: BLAKE2b digest of the policy's body, in hexadecimal.
+        acceptors: The acceptors that vote on the next version.
         author: The instance that proposed it.
-        change: The author's name for it. By this the author learns whether its own change was chosen.
-        requester: Who wanted it, for people.
-        reason: Why, for people.
+        change: The author's name for the change, by which it recognizes whether its own change was chosen.
+        requester: The person or program that asked for the change; for operators.
+        reason: The reason for the change; for operators.
     """
 
     number: Number
@@ -71,12 +71,12 @@
 
 
 class Ballot(ArrayStruct, frozen=True, order=True):
-    """A ballot number. No two attempts have the same one, as `incarnation` is drawn at each start.
+    """A ballot number. It is unique to one attempt, as `incarnation` is drawn at each start of the process.
 
     Attributes:
-        round: Raised with each attempt.
+        round: Increases with each attempt.
         proposer: The proposing instance.
-        incarnation: Identifies the run of the proposer's process.
+        incarnation: Random number of the proposer's run of its process.
     """
 
     round: Number = 0
@@ -95,7 +95,7 @@
 
 
 class Decided(ArrayStruct, frozen=True, tag="D"):
-    """A chosen version with its proof: votes of a majority of the acceptors of the version before."""
+    """A chosen version with its proof: votes of a majority of the previous version's acceptors."""
 
     version: Version
     ballot: Ballot
@@ -110,14 +110,14 @@
 
 
 class Promise(ArrayStruct, frozen=True, tag="p"):
-    """Phase 1b of Paxos: the acceptor votes for nothing below `ballot` any more.
+    """Phase 1b of Paxos: the acceptor will not vote in ballots below `ballot` any more.
 
     Attributes:
-        number: Of the version that is voted on.
+        number: The number of the version that is voted on.
         ballot: The promised ballot.
-        acceptor_id: Who promises.
+        acceptor_id: The acceptor that promises.
         accepted_ballot: The highest ballot in which it has voted so far.
-        accepted_version: What it voted for then; None: it has not voted.
+        accepted_version: The version that it voted for in that ballot; None if it has not voted.
     """
 
     number: Number
@@ -143,12 +143,12 @@
 
 
 class Nack(ArrayStruct, frozen=True, tag="o"):
-    """The acceptor has promised a higher ballot than the one that was asked for.
+    """The answer of an acceptor that has promised a higher ballot than the requested one.
 
     Attributes:
-        number: Of the version that is voted on.
-        ballot: The ballot that was asked for.
-        promised_ballot: The higher one.
+        number: The number of the version that is voted on.
+        ballot: The requested ballot.
+        promised_ballot: The higher ballot that it has promised.
     """
 
     number: Number
@@ -157,7 +157,7 @@
 
 
 class LeaseRequest(ArrayStruct, frozen=True, tag="L"):
-    """Asks to act by a version for the length of a lease, counted from when this was sent."""
+    """Requests a lease on a version. The lease runs from the time at which the request was sent."""
 
     number: Number
     nonce: Nonce
@@ -165,7 +165,7 @@
 
 
 class LeaseGrant(ArrayStruct, frozen=True, tag="g"):
-    """One acceptor's consent to a `LeaseRequest`. A majority of them is a lease."""
+    """One acceptor's grant of a `LeaseRequest`. Grants of a majority of acceptors make a lease."""
 
     number: Number
     nonce: Nonce
@@ -173,20 +173,20 @@
 
 
 class LeaseDenied(ArrayStruct, frozen=True, tag="b"):
-    """No lease at present: the acceptor has voted for the next version and does not know the result."""
+    """The acceptor grants no lease now: it has voted for the next version and does not know the result."""
 
     number: Number
     nonce: Nonce
 
 
 class CatchUp(ArrayStruct, frozen=True, tag="B"):
-    """The sender knows no version after `latest_number` and asks for the next one."""
+    """The sender knows no version after `latest_number` and requests the next one."""
 
     latest_number: Number
 
 
 class ValidationRequest(ArrayStruct, frozen=True, tag="C"):
-    """Asks whether the receiver could act by this version. Changes nothing."""
+    """Asks whether the receiver could use this version. It changes no state."""
 
     change: Text
     version: Version
@@ -196,8 +196,8 @@
     """The answer to a `ValidationRequest`.
 
     Attributes:
-        change: The name of the change that was asked about.
-        reason: Why the instance could not act by it; empty: it could.
+        change: The name of the validated change.
+        reason: Why the instance could not use the version; empty if it could.
     """
 
     change: Text
@@ -208,10 +208,10 @@
     """Counts of an instance's requests since its start, sent only during a rollout.
 
     Attributes:
-        version: The version that the instance acts by.
-        incarnation: Identifies the run of its process.
-        zone: Of the instance.
-        counts: By class: requests that ended, and those of them that were not served in time.
+        version: The number of the version that the instance uses.
+        incarnation: Random number of the run of its process.
+        zone: The zone of the instance.
+        counts: By request class: requests that ended, and how many of these were not served in time.
     """
 
     version: Number
@@ -238,7 +238,7 @@
 
 
 def truncate_utf8(text: str, max_bytes: int) -> str:
-    """Returns the longest prefix of whole characters that takes at most `max_bytes` in UTF-8."""
+    """Returns the longest prefix of complete characters that takes at most `max_bytes` in UTF-8."""
     return text.encode()[:max_bytes].decode(errors="ignore")
 
 
@@ -247,18 +247,18 @@
 
 
 def encode(message: Message) -> bytes:
-    """Returns the bytes of a message as they are sent."""
+    """Returns the encoded message as it is sent."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Returns the message that the bytes stand for.
+    """Returns the message that the bytes encode.
 
     Raises:
-        MessageDecodeError: The bytes are longer than a message may be, or not a valid one.
+        MessageDecodeError: The bytes exceed `MAX_MESSAGE_BYTES` or do not encode a valid message.
     """
     if len(data) > MAX_MESSAGE_BYTES:
-        raise MessageDecodeError(f"{len(data)} bytes")
+        raise MessageDecodeError(f"the message is longer than allowed: {len(data)} bytes")
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -271,5 +271,5 @@
 
 
 def majority(acceptor_count: int) -> int:
-    """Returns how many of so many acceptors are a majority."""
+    """Returns the size of a majority of `acceptor_count` acceptors."""
     return acceptor_count // 2 + 1
--- a/client_proxy/consensus/model.py
+++ b/client_proxy/consensus/model.py
@@ -1,4 +1,4 @@
-"""What the model checker explores: sizes of a cluster, bounds on faults, and the kinds of steps."""
+"""The model that the model checker explores: cluster size, bounds on faults, and kinds of steps."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 @dataclass(frozen=True)
 class Model:
-    """What is explored: sizes, bounds on what may happen, and the parts of the protocol, whole or broken.
+    """Cluster size, bounds on the events of a run, and the protocol classes, intact or deliberately broken.
 
     Attributes:
-        acceptors: Instances with an acceptor.
-        followers: Instances without one.
-        changes: Proposals of new versions.
-        ticks: How far time goes.
+        acceptors: Number of instances with an acceptor.
+        followers: Number of instances without an acceptor.
+        changes: Most proposals of new versions.
+        ticks: Most ticks of time.
         lease: Length of a lease, in ticks.
-        crashes: Restarts of acceptors' instances, with what they have stored.
-        state_losses: Restarts without.
-        duplicates: Messages that are delivered twice.
-        recoveries: Proposals to finish another's vote.
-        renewals: Requests for leases, of each instance.
+        crashes: Most restarts of acceptors' instances with their stored state.
+        state_losses: Most restarts of acceptors' instances after the loss of their state.
+        duplicates: Most messages that are delivered twice.
+        recoveries: Most proposals that complete the vote of another proposer.
+        renewals: Most lease requests of each instance.
         acceptor_type: The class of acceptors.
         lease_holder_type: The class of lease holders.
         proposal_type: The class of proposals.
-        withdrawals: Changes that their author withdraws.
-        replaces_acceptors: Each change also replaces an acceptor by that of an instance without a vote.
-        sends_before_persisting: Broken: messages are sent before what they depend on is stored.
-        withdraws_after_vote_request: Broken: a change is withdrawn when acceptors were asked to vote for it.
-        keeps_id_after_state_loss: Broken: an acceptor that lost its state goes on with the same id.
+        withdrawals: Most changes that their author withdraws.
+        replaces_acceptors: Each change also replaces one acceptor by that of an instance without a vote.
+        sends_before_persisting: Broken guard: messages are sent before the state they depend on is stored.
+        withdraws_after_vote_request: Broken guard: a change may be withdrawn after a vote was requested.
+        keeps_id_after_state_loss: Broken guard: an acceptor that lost its state continues with the same id.
     """
 
     acceptors: int = 3
@@ -58,7 +58,7 @@
 
 
 class InFlight(NamedTuple):
-    """A message that was sent and may be delivered."""
+    """A message that was sent and not delivered yet."""
 
     to: int
     sender: int
@@ -66,7 +66,7 @@
 
 
 class StepKind(Enum):
-    """What happens in a step."""
+    """The kind of event in a step."""
 
     DELIVER = "deliver"
     DUPLICATE = "duplicate"
@@ -80,11 +80,11 @@
 
 
 class Step(NamedTuple):
-    """One step from a state to the next.
+    """A transition from one state to the next.
 
     Attributes:
-        kind: What happens.
-        target: The message that is delivered, the number of the instance, or that of the proposal.
+        kind: The kind of event.
+        target: The delivered `InFlight`, the number of the instance, or the index of the proposal.
     """
 
     kind: StepKind
--- a/client_proxy/consensus/model_checker.py
+++ b/client_proxy/consensus/model_checker.py
@@ -1,18 +1,18 @@
-"""A model of a cluster for checking the protocol: all orders of messages, losses, crashes and ticks of time.
+"""Model checking of the protocol: all orders of message deliveries, losses, crashes and ticks of time.
 
-A `State` holds the real `Acceptor`s, `LeaseHolder`s and `Proposal`s, what they have stored, and all messages
-in flight. A message that is never delivered is lost, so that loss needs no step of its own; one may be
-delivered twice, up to a bound. Time goes in ticks, and may stand or go on at any moment. `model_search`
-explores the states. These invariants must hold in each of them:
+A `State` holds the real `Acceptor`s, `LeaseHolder`s and `Proposal`s, their stored state, and all messages in
+flight. A message that is never delivered counts as lost, so loss needs no step of its own; a message may be
+delivered twice, up to a bound. Time advances in ticks, between any two other steps or not at all.
+`model_search` explores the states. These invariants must hold in each state:
 
-1. *atomic*: no instance may act by a version later than the length of a lease after the first moment at which
-   another may act by a newer one;
-2. *one*: no two versions of one number are ever decided;
-3. *nowhere*: no instance may ever act by a version that was not decided, and what its author has withdrawn is
-   never decided.
+1. *atomic*: no instance may use a version when the length of a lease has passed since another instance could
+   first use a newer one;
+2. *one*: no two versions with the same number are ever decided;
+3. *nowhere*: no instance may ever use a version that was not decided, and a version that its author has
+   withdrawn is never decided.
 
-A guard of the protocol is broken by passing in other classes or by the flags of `Model`. The run that
-violates an invariant then is the counterexample.
+To break a guard of the protocol on purpose, a test passes other classes or sets flags of `Model`. A run that
+then violates an invariant is the counterexample that shows why the guard is needed.
 """
 
 from __future__ import annotations
@@ -29,34 +29,32 @@
 from client_proxy.consensus.unsigned import accept_any_signature, sign_nothing
 
 GENESIS = "genesis"  # the digest of the first version
-INCARNATION_STRIDE = (
-    100  # an incarnation is this times the number of crashes before, plus the instance's number
-)
+INCARNATION_STRIDE = 100  # an incarnation is this times the number of earlier crashes, plus the member
 
 
 @dataclass
 class State:
-    """A state of the model. Instances are numbered, those with an acceptor first.
+    """A state of the model. Instances are numbered from 0; those with an acceptor come first.
 
     Attributes:
-        model: What is explored.
+        model: The explored model.
         now: The time, in ticks.
-        acceptors: By instance.
-        stored: What each acceptor has stored.
-        lease_holders: By instance.
-        proposals: In the order in which they were made.
-        in_flight: Messages that may be delivered, and how often.
-        crashes: So far, as the other counts.
-        state_losses: So far.
-        duplicates: So far.
-        renewals: So far, by instance.
-        changes: So far.
-        recoveries: So far.
-        withdrawals: So far.
-        withdrawn: Digests of versions that were withdrawn.
-        first_active: By a version's number: when somebody first could act by it.
-        decided: By number.
-        violation: The invariant that is violated, and how; empty: none is.
+        acceptors: The acceptors, by instance.
+        stored: The stored state of each acceptor, by instance.
+        lease_holders: The lease holders, by instance.
+        proposals: All proposals, in the order in which they were made.
+        in_flight: Messages that may be delivered, with the number of their copies.
+        crashes: Number of crashes so far.
+        state_losses: Number of state losses so far.
+        duplicates: Number of duplicated messages so far.
+        renewals: Number of lease renewals so far, by instance.
+        changes: Number of proposed changes so far.
+        recoveries: Number of recoveries so far.
+        withdrawals: Number of withdrawals so far.
+        withdrawn: Digests of the withdrawn versions.
+        first_active: Tick at which the first instance could use a version, by version number.
+        decided: Decided versions, by number.
+        violation: The violated invariant, with details; empty if none is violated.
     """
 
     model: Model
@@ -78,13 +76,13 @@
     decided: dict[int, Version] = field(default_factory=dict)
     violation: str = ""
 
-    # Made and copied
+    # Creation and copies
 
     @classmethod
     def start(cls, model: Model, leased: bool = True) -> State:
-        """Returns a state in which all know the first version.
+        """Returns the initial state, in which all instances know the first version.
 
-        With `leased` all hold a lease on it, requested at the beginning.
+        With `leased` each instance holds a lease on it, requested at tick 0.
         """
         acceptor_ids = tuple(AcceptorId(member, 1) for member in range(model.acceptors))
         genesis = Decided(Version(1, GENESIS, acceptor_ids), Ballot(), ())
@@ -103,7 +101,7 @@
         return state
 
     def clone(self) -> State:
-        """Returns a copy that changes apart from this one."""
+        """Returns a copy that can be changed independently of this state."""
         other = replace(self)
         other.acceptors = {member: copy.copy(acceptor) for member, acceptor in self.acceptors.items()}
         other.lease_holders = {
@@ -118,7 +116,7 @@
         return other
 
     def key(self) -> object:
-        """Returns what is equal for states that nothing that follows can tell apart."""
+        """Returns a key that is equal only for states from which the same runs can follow."""
         lease_holders = tuple(
             (
                 holder.latest, holder.active_version, holder.prepared_number, holder.lease_until_ms,
@@ -145,7 +143,7 @@
     # Steps
 
     def steps(self) -> Iterator[Step]:
-        """Yields the steps that are possible here, always in the same order."""
+        """Yields the steps that are possible in this state, in a deterministic order."""
         model = self.model
         yield from self._deliveries()
         if self.now < model.ticks:
@@ -162,10 +160,10 @@
 
     def _deliveries(self) -> Iterator[Step]:
         may_duplicate = self.duplicates < self.model.duplicates
-        for flying in self.in_flight:
-            yield Step(StepKind.DELIVER, flying)
+        for delivery in self.in_flight:
+            yield Step(StepKind.DELIVER, delivery)
             if may_duplicate:
-                yield Step(StepKind.DUPLICATE, flying)
+                yield Step(StepKind.DUPLICATE, delivery)
 
     def _renewals(self) -> Iterator[Step]:
         for member in self.lease_holders:
@@ -175,10 +173,10 @@
     def _withdrawals(self) -> Iterator[Step]:
         if self.withdrawals >= self.model.withdrawals:
             return
-        late_allowed = self.model.withdraws_after_vote_request
+        may_withdraw_late = self.model.withdraws_after_vote_request
         for index, proposal in enumerate(self.proposals):
-            in_time = proposal.phase in (Phase.VALIDATE, Phase.PREPARE)
-            if proposal.version is None or not (in_time or late_allowed):
+            before_vote_request = proposal.phase in (Phase.VALIDATE, Phase.PREPARE)
+            if proposal.version is None or not (before_vote_request or may_withdraw_late):
                 continue
             if proposal.phase is not Phase.REJECTED and not self._was_decided(proposal.version):
                 yield Step(StepKind.WITHDRAW, index)
@@ -267,12 +265,12 @@
         self.proposals.append(proposal)
         self._execute(member, proposal.start())
 
-    def deliver(self, flying: InFlight) -> None:
-        """Delivers a message to all parts of the instance."""
-        to, sender, message = flying
-        count = self.in_flight.pop(flying)
+    def deliver(self, delivery: InFlight) -> None:
+        """Delivers a message to the acceptor, the lease holder and the open proposals of its receiver."""
+        to, sender, message = delivery
+        count = self.in_flight.pop(delivery)
         if count > 1:
-            self.in_flight[flying] = count - 1
+            self.in_flight[delivery] = count - 1
         if to in self.acceptors:
             self._execute(to, self.acceptors[to].handle(sender, message))
         if to in self.lease_holders:
@@ -298,8 +296,8 @@
                     for to in self.lease_holders:
                         self._send(InFlight(to, member, decided))
 
-    def _send(self, flying: InFlight) -> None:
-        self.in_flight[flying] = self.in_flight.get(flying, 0) + 1
+    def _send(self, delivery: InFlight) -> None:
+        self.in_flight[delivery] = self.in_flight.get(delivery, 0) + 1
 
     # Invariants
 
@@ -308,7 +306,7 @@
 
     def _decide(self, version: Version) -> None:
         if version.digest in self.withdrawn:
-            self.violation = f"nowhere: {version.digest!r} is decided, and its author has withdrawn it"
+            self.violation = f"nowhere: {version.digest!r} is decided, but its author has withdrawn it"
         before = self.decided.setdefault(version.number, version)
         if before != version:
             self.violation = (
@@ -316,7 +314,7 @@
             )
 
     def check_invariants(self) -> None:
-        """Sets `violation` if an instance may act by a version that it must not act by."""
+        """Sets `violation` if an instance may use a version that it must not use."""
         now = float(self.now)
         active = [
             (member, version)
@@ -325,13 +323,13 @@
         ]
         for member, version in active:
             if not self._was_decided(version):
-                self.violation = f"nowhere: {member} may act by {version.digest!r}, which is not decided"
+                self.violation = f"nowhere: {member} may use {version.digest!r}, which is not decided"
             self.first_active.setdefault(version.number, self.now)
         for member, version in active:
             newer = [at for number, at in self.first_active.items() if number > version.number]
             if newer and self.now >= min(newer) + self.model.lease and not self.violation:
                 late = self.now - min(newer)
-                self.violation = f"atomic: {member} may act by an old version {late} ticks after a newer one"
+                self.violation = f"atomic: {member} may use an old version {late} ticks after a newer one"
 
 
 def _copy_lease_holder(lease_holder: LeaseHolder) -> LeaseHolder:
@@ -346,7 +344,7 @@
 def _copy_proposal(proposal: Proposal) -> Proposal:
     return replace(
         proposal,
-        accepting=set(proposal.accepting),
+        approving=set(proposal.approving),
         rejections=dict(proposal.rejections),
         promises=dict(proposal.promises),
         votes=dict(proposal.votes),
--- a/client_proxy/consensus/model_search.py
+++ b/client_proxy/consensus/model_search.py
@@ -1,4 +1,4 @@
-"""Searches the states of the model for violated invariants, and shortens the runs that lead to one."""
+"""Searches the model's states for violated invariants, and shortens the runs that violate one."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 Run = tuple[Step, ...]
 
-PARTITION_PROBABILITY = 0.05  # a step, that other instances are cut off
-# Messages are delivered more often than anything else happens, or nothing would ever be decided.
+PARTITION_PROBABILITY = 0.05  # per step, of a new choice of the partitioned instances
+# Deliveries are drawn more often than other steps, as otherwise no version would ever be decided.
 DELIVERY_WEIGHT = 1.0
-WEIGHTS = {StepKind.TICK: 0.3, StepKind.RENEW: 0.3, StepKind.RECOVER: 0.3}
-OTHER_WEIGHT = 0.1
-CHUNK_SIZES = (32, 16, 8, 4, 2)  # of steps that are left out of a run at once
+STEP_WEIGHTS = {StepKind.TICK: 0.3, StepKind.RENEW: 0.3, StepKind.RECOVER: 0.3}
+OTHER_STEP_WEIGHT = 0.1
+CHUNK_SIZES = (32, 16, 8, 4, 2)  # numbers of steps that are removed from a run at once
 
 
 @dataclass
 class SearchResult:
-    """What a search found.
+    """The result of a search.
 
     Attributes:
-        states: How many states were visited.
-        by_depth: How many of them were new, by depth.
-        violation: The violated invariant, and how; empty: none was.
-        run: The steps that lead to it.
+        states: Number of visited states.
+        by_depth: Number of new states, by depth.
+        violation: The violated invariant, with details; empty if none was violated.
+        run: The steps that lead to the violation.
     """
 
     states: int = 0
@@ -45,15 +45,15 @@
     leased: bool = True,
     reduce_symmetry: bool = True,
 ) -> SearchResult:
-    """Visits every state up to a depth, breadth first, so that the first counterexample is a shortest one.
+    """Visits every state up to a depth, breadth first, so that the first counterexample has minimal length.
 
     Args:
-        model: What is explored.
-        depth: In steps.
-        max_states: Ends the search.
-        leased: Begin with leases.
-        reduce_symmetry: Do not tell acceptors apart. Without effect where a model replaces them by their
-            order.
+        model: The explored model.
+        depth: The largest depth, in steps.
+        max_states: Number of visited states at which the search ends.
+        leased: Start with leases on the first version.
+        reduce_symmetry: Treat states that differ only in the numbers of acceptors as one. Ignored if the
+            model replaces acceptors, since it picks them by their order.
     """
     start = State.start(model, leased)
     result = SearchResult(1, [1])
@@ -62,14 +62,14 @@
     level: deque[tuple[State, Run]] = deque([(start, ())])
     for _ in range(depth):
         next_level: deque[tuple[State, Run]] = deque()
-        for reached, run in _new_states(level, key_of, seen):
+        for next_state, run in _new_states(level, key_of, seen):
             result.states += 1
-            if reached.violation:
-                result.violation, result.run = reached.violation, run
+            if next_state.violation:
+                result.violation, result.run = next_state.violation, run
                 return result
             if result.states >= max_states:
                 return result
-            next_level.append((reached, run))
+            next_level.append((next_state, run))
         result.by_depth.append(len(next_level))
         level = next_level
     return result
@@ -78,35 +78,36 @@
 def _new_states(
     level: deque[tuple[State, Run]], key_of: Callable[[State], object], seen: set[int]
 ) -> Iterator[tuple[State, Run]]:
-    """Yields the states one step after those of a level that were not seen before, and marks them as seen."""
+    """Yields the unseen states one step after those of a level, and adds their keys to `seen`."""
     while level:
         state, run = level.popleft()
         for step in state.steps():
-            reached = state.apply(step)
-            key = hash(key_of(reached))
+            next_state = state.apply(step)
+            key = hash(key_of(next_state))
             if key not in seen:
                 seen.add(key)
-                yield reached, (*run, step)
+                yield next_state, (*run, step)
 
 
 def walk_randomly(model: Model, seed: int, steps: int, leased: bool = True) -> SearchResult:
-    """Follows one long random schedule.
+    """Executes one long random schedule.
 
-    Now and then some instances are cut off from the others; messages over the cut are delivered after it.
+    From time to time some instances are partitioned from the others; messages across the partition are
+    delivered only after it, unless no other step is possible.
     """
     random = Random(seed)
     state = State.start(model, leased)
     run: list[Step] = []
-    cut_off: set[int] = set()
+    partitioned: set[int] = set()
     for _ in range(steps):
         if random.random() < PARTITION_PROBABILITY:
             members = sorted(state.lease_holders)
-            cut_off = set(random.sample(members, random.randint(0, len(members) // 2)))
+            partitioned = set(random.sample(members, random.randint(0, len(members) // 2)))
         possible = list(state.steps())
-        choices = [step for step in possible if not _crosses(step, cut_off)] or possible
+        choices = [step for step in possible if not _crosses_partition(step, partitioned)] or possible
         if not choices:
             break
-        step = random.choices(choices, [_weight(step) for step in choices])[0]
+        step = random.choices(choices, [_step_weight(step) for step in choices])[0]
         state = state.apply(step)
         run.append(step)
         if state.violation:
@@ -114,31 +115,31 @@
     return SearchResult(len(run))
 
 
-def _crosses(step: Step, cut_off: set[int]) -> bool:
-    """Tells whether the step delivers a message between an instance that is cut off and one that is not."""
+def _crosses_partition(step: Step, partitioned: set[int]) -> bool:
+    """Returns whether the step delivers a message across the partition."""
     if step.kind is not StepKind.DELIVER:
         return False
-    return (step.target.to in cut_off) != (step.target.sender in cut_off)
+    return (step.target.to in partitioned) != (step.target.sender in partitioned)
 
 
-def _weight(step: Step) -> float:
+def _step_weight(step: Step) -> float:
     if step.kind is StepKind.DELIVER:
         return DELIVERY_WEIGHT
-    return WEIGHTS.get(step.kind, OTHER_WEIGHT)
+    return STEP_WEIGHTS.get(step.kind, OTHER_STEP_WEIGHT)
 
 
 def shorten_run(model: Model, run: Run, leased: bool = True) -> Run:
-    """Returns the run without steps that the violation does not need."""
-    # In chunks first: most steps of a long schedule have nothing to do with the violation.
-    steps = _without_chunks(model, list(run), leased)
+    """Returns the run without the steps that the violation does not need."""
+    # Remove chunks first, as most steps of a long schedule do not contribute to the violation.
+    steps = _drop_chunks(model, list(run), leased)
     shortened: list[Step] | None = steps
     while shortened is not None:
         steps = shortened
-        shortened = _without_one(model, steps, leased)
+        shortened = _drop_one_step(model, steps, leased)
     return tuple(steps)
 
 
-def _without_chunks(model: Model, steps: list[Step], leased: bool) -> list[Step]:
+def _drop_chunks(model: Model, steps: list[Step], leased: bool) -> list[Step]:
     for size in CHUNK_SIZES:
         for start in reversed(range(0, len(steps), size)):
             candidate = steps[:start] + steps[start + size :]
@@ -148,8 +149,8 @@
     return steps
 
 
-def _without_one(model: Model, steps: list[Step], leased: bool) -> list[Step] | None:
-    """Returns the run without the last step that can be left out; None: all are needed."""
+def _drop_one_step(model: Model, steps: list[Step], leased: bool) -> list[Step] | None:
+    """Returns the run without the last step that is not needed; None if all steps are needed."""
     for index in reversed(range(len(steps))):
         candidate = steps[:index] + steps[index + 1 :]
         count = _steps_to_violation(model, candidate, leased)
@@ -159,7 +160,7 @@
 
 
 def _steps_to_violation(model: Model, steps: list[Step], leased: bool) -> int:
-    """Returns after how many steps an invariant is violated; 0: the steps are not possible, or none is."""
+    """Returns the number of steps up to a violation; 0 if there is none or a step is not possible."""
     state = State.start(model, leased)
     for count, step in enumerate(steps, 1):
         if not _is_possible(state, step):
--- a/client_proxy/consensus/model_symmetry.py
+++ b/client_proxy/consensus/model_symmetry.py
@@ -1,8 +1,8 @@
-"""Reduction by symmetry: states of the model that differ only in the numbers of acceptors count as one.
+"""Symmetry reduction: states of the model that differ only in the numbers of acceptors count as one.
 
-Acceptors are put in an order by what they look like from outside and numbered by it. Any numbering would do:
-two states get the same key only if they are the same but for the numbers. States in which acceptors tie are
-told apart more often than they need be, never less.
+Acceptors are sorted by properties that do not depend on their numbers, and renumbered in this order. Any
+numbering is correct: two states get the same key only if they are equal except for the numbers. If acceptors
+tie in the order, equivalent states may get different keys, which only makes the search visit more states.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 from client_proxy.consensus.model_checker import INCARNATION_STRIDE, State
 from client_proxy.consensus.proposer import Proposal
 
-NONCE_COUNT_BITS = 32  # below the incarnation, in the nonce of a lease request
+NONCE_COUNT_BITS = 32  # low bits of a lease request's nonce, which count; the incarnation is above
 
 Numbers = Mapping[int, int]
-"""New numbers of instances, by their old ones."""
+"""New instance numbers, by old number."""
 
 
 def symmetric_key(state: State) -> object:
-    """Returns the key of the state in which acceptors are numbered by their ranks."""
-    # The author of changes is the last instance: where it has an acceptor, that is unlike the others.
+    """Returns the key of the equivalent state in which acceptors are numbered in the order of `_rank_key`."""
+    # The last instance is the author of all changes; if it has an acceptor, this one keeps its number.
     model = state.model
     members = range(model.acceptors if model.followers else model.acceptors - 1)
-    order = sorted(members, key=lambda member: (_rank(state, member), member))
+    order = sorted(members, key=lambda member: (_rank_key(state, member), member))
     if order == list(members):
         return state.key()
     numbers = {old: new for new, old in enumerate(order)}
@@ -48,11 +48,11 @@
     return _renumber_state(state, numbers).key()
 
 
-def _rank(state: State, member: int) -> tuple[object, ...]:
-    """Returns what an instance looks like from outside, as far as it can be ordered."""
+def _rank_key(state: State, member: int) -> tuple[object, ...]:
+    """Returns a sort key of an instance that does not depend on its number."""
     acceptor_state, lease_holder = state.acceptors[member].state, state.lease_holders[member]
-    received = sum(count for flying, count in state.in_flight.items() if flying.to == member)
-    sent = sum(count for flying, count in state.in_flight.items() if flying.sender == member)
+    received = sum(count for delivery, count in state.in_flight.items() if delivery.to == member)
+    sent = sum(count for delivery, count in state.in_flight.items() if delivery.sender == member)
     return (
         acceptor_state.decided.version.number, acceptor_state.promised_ballot.round,
         acceptor_state.accepted_ballot.round, lease_holder.prepared_number,
@@ -64,17 +64,17 @@
 
 def _renumber_state(state: State, numbers: Numbers) -> State:
     other = state.clone()
-    other.acceptors = _by_new_number(
+    other.acceptors = _rekey_members(
         {member: _renumber_acceptor(acceptor, numbers) for member, acceptor in state.acceptors.items()},
         numbers,
     )
-    other.stored = _by_new_number(
+    other.stored = _rekey_members(
         {member: _renumber(stored, numbers) for member, stored in state.stored.items()}, numbers
     )
-    other.renewals = _by_new_number(state.renewals, numbers)
+    other.renewals = _rekey_members(state.renewals, numbers)
     for lease_holder in other.lease_holders.values():
         _renumber_lease_holder(lease_holder, numbers)
-    other.lease_holders = _by_new_number(other.lease_holders, numbers)
+    other.lease_holders = _rekey_members(other.lease_holders, numbers)
     other.proposals = [_renumber_proposal(proposal, numbers) for proposal in state.proposals]
     other.in_flight = {
         InFlight(numbers[to], numbers[sender], _renumber(message, numbers)): count
@@ -83,12 +83,12 @@
     return other
 
 
-def _by_new_number(values: Mapping[int, Any], numbers: Numbers) -> dict[int, Any]:
+def _rekey_members(values: Mapping[int, Any], numbers: Numbers) -> dict[int, Any]:
     return dict(sorted({numbers[member]: value for member, value in values.items()}.items()))
 
 
 def _renumber(value: Any, numbers: Numbers) -> Any:
-    """Returns a message or a part of one with other numbers of members, proposers and incarnations."""
+    """Returns a message, or a part of one, with members, proposers and nonces renumbered."""
     match value:
         case AcceptorId(member, storage_id):
             return AcceptorId(numbers[member], storage_id)
@@ -119,7 +119,7 @@
 
 
 def _renumber_nonce(nonce: int, numbers: Numbers) -> int:
-    """Returns the nonce with another incarnation, which is made from the instance's number in the model."""
+    """Returns the nonce with a renumbered incarnation, which contains the instance's number in the model."""
     incarnation, count = nonce >> NONCE_COUNT_BITS, nonce & ((1 << NONCE_COUNT_BITS) - 1)
     crashes, member = divmod(incarnation, INCARNATION_STRIDE)
     return (INCARNATION_STRIDE * crashes + numbers[member]) << NONCE_COUNT_BITS | count
@@ -132,7 +132,7 @@
 
 
 def _renumber_lease_holder(lease_holder: LeaseHolder, numbers: Numbers) -> None:
-    """Changes a lease holder, which has to be a copy."""
+    """Renumbers a lease holder in place; the caller passes a copy."""
     lease_holder.latest = _renumber(lease_holder.latest, numbers)
     lease_holder.active_version = _renumber(lease_holder.active_version, numbers)
     lease_holder._granted_by = {_renumber(acceptor_id, numbers) for acceptor_id in lease_holder._granted_by}
--- a/client_proxy/consensus/node.py
+++ b/client_proxy/consensus/node.py
@@ -1,8 +1,8 @@
-"""One instance's part in the protocol: its acceptor if it has one, its lease, and its proposals.
+"""The consensus node of one instance: its acceptor if it has one, its lease holder, and its proposals.
 
-Randomness is passed in as a seed. A lost message costs time only: leases are requested again and again, a
-proposal that gets no majority in time is repeated with a higher ballot, and an acceptor that has voted and
-hears no result finishes the vote itself.
+Randomness comes from a seed that is passed in. A lost message only causes a delay: leases are requested
+periodically, a proposal without a majority before its timeout is repeated with a higher ballot, and an
+acceptor that has voted and learns no result completes the vote with a proposal of its own.
 """
 
 from __future__ import annotations
@@ -43,10 +43,10 @@
 from client_proxy.consensus.proposer import Action as ProposalAction
 from client_proxy.consensus.proposer import Chosen, Phase, Proposal
 
-VALIDATION_RETRY_MS = 300.0  # after this, validators that have not answered are asked once more
-VALIDATION_TIMEOUT_MS = 1500.0  # for answers of all validators, before the vote begins without the others
-BALLOT_TIMEOUT_MS = 1200.0  # for a majority, in one ballot
-RECOVERY_TIMEOUT_MS = 3000.0  # for the result of a vote, before the acceptor finishes it itself
+VALIDATION_RETRY_MS = 300.0  # interval at which validators that have not answered are asked again
+VALIDATION_TIMEOUT_MS = 1500.0  # for answers of all validators; then the vote starts without the missing ones
+BALLOT_TIMEOUT_MS = 1200.0  # for a majority in one ballot; a random factor of 1 to 2 is applied
+RECOVERY_TIMEOUT_MS = 3000.0  # for the result of a vote; then the acceptor completes the vote itself
 MAX_BALLOTS = 8
 MAX_LEASE_REQUESTERS = 10_000
 MAX_CHANGE_BYTES, MAX_REQUESTER_BYTES, MAX_REASON_BYTES = 60, 60, 200
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ValidateVersion:
-    """Action: find out whether this instance could act by the version, and call `on_validated`."""
+    """Action: check whether this instance could use the version, then call `on_validated`."""
 
     to: int
     message: ValidationRequest
@@ -65,14 +65,14 @@
 
 
 class Node:
-    """Puts acceptor, lease holder and proposals of one instance together.
+    """Combines the acceptor, the lease holder and the proposals of one instance.
 
     Attributes:
         member: The instance's number.
-        acceptor: Its acceptor; None: it has none, or its state was lost.
-        lease_holder: Its lease.
-        attempt: What is proposed here at present.
-        lease_requesters: When each instance last requested a lease here, the longest ago first.
+        acceptor: Its acceptor; None if it has none or lost its state.
+        lease_holder: Its lease holder.
+        attempt: The change or recovery in progress at this instance; None if there is none.
+        lease_requesters: Time of the latest lease request of each instance (ms), the oldest first.
     """
 
     def __init__(
@@ -86,17 +86,17 @@
         incarnation: int,
         seed: int,
     ) -> None:
-        """Starts from stored state.
+        """Starts from the stored state.
 
         Args:
             member: The instance's number.
             decided: The latest decided version that was stored.
-            state: The acceptor's stored state; None: there is none.
-            settings: Times of leases.
+            state: The acceptor's stored state; None if there is none.
+            settings: Lease times.
             sign: Signs with the key of this instance.
             verify: Checks an acceptor's signature.
-            incarnation: Drawn at each start of the process.
-            seed: Of the waits between ballots.
+            incarnation: Random number, drawn at each start of the process.
+            seed: Seed of the random ballot timeouts.
         """
         self.member, self._incarnation, self._settings = member, incarnation, settings
         self._random = Random(seed)
@@ -105,7 +105,7 @@
             if state.decided.version.number > decided.version.number:
                 decided = state.decided
             elif state.decided.version.number < decided.version.number:
-                # Its promises and votes were for a number that is decided by now.
+                # The promise and the vote were for a number that has been decided since.
                 self.acceptor.state = AcceptorState(state.acceptor_id, decided)
         self.lease_holder = LeaseHolder(member, decided, settings, verify, incarnation)
         self.attempt: Attempt | None = None
@@ -117,7 +117,7 @@
 
     @property
     def timer_due_ms(self) -> float:
-        """When to call `on_timer` next."""
+        """Time at which to call `on_timer` next."""
         due_ms = self.lease_holder.timer_due_ms
         if self.attempt is not None:
             due_ms = min(due_ms, self.attempt.deadline_ms, self.attempt.retry_ms)
@@ -126,7 +126,7 @@
         return due_ms
 
     def on_timer(self, now_ms: float) -> list[Action]:
-        """Returns all that is due."""
+        """Does everything that is due and returns the resulting actions."""
         actions: list[Action] = []
         if now_ms >= self.lease_holder.timer_due_ms:
             actions += self.lease_holder.on_timer(now_ms)
@@ -146,11 +146,11 @@
     # Messages
 
     def handle(self, now_ms: float, sender: int, message: Message) -> list[Action]:
-        """Returns what follows from a message."""
+        """Handles a message and returns the resulting actions."""
         if isinstance(message, ValidationRequest):
             return [ValidateVersion(sender, message)]
         if isinstance(message, LeaseRequest):
-            self._note_lease_request(now_ms, sender)
+            self._record_lease_request(now_ms, sender)
         actions: list[Action] = []
         if self.acceptor is not None:
             actions += self.acceptor.handle(sender, message)
@@ -161,33 +161,33 @@
         if isinstance(message, Nack):
             self._round = max(self._round, message.promised_ballot.round)
         if isinstance(message, Decided):
-            actions += self._end_if_decided()
-        self._note_pending_vote(now_ms)
+            actions += self._finish_if_decided()
+        self._update_pending_vote(now_ms)
         return actions
 
-    def _note_lease_request(self, now_ms: float, sender: int) -> None:
+    def _record_lease_request(self, now_ms: float, sender: int) -> None:
         self.lease_requesters.pop(sender, None)
         self.lease_requesters[sender] = now_ms
         if len(self.lease_requesters) > MAX_LEASE_REQUESTERS:
             del self.lease_requesters[next(iter(self.lease_requesters))]
 
-    def _note_pending_vote(self, now_ms: float) -> None:
+    def _update_pending_vote(self, now_ms: float) -> None:
         if self.acceptor is None or self.acceptor.pending_version is None:
             self._vote_pending_since_ms = None
         elif self._vote_pending_since_ms is None:
             self._vote_pending_since_ms = now_ms
 
     def live_members(self, now_ms: float) -> tuple[int, ...]:
-        """Returns the instances that requested a lease here within the length of one."""
+        """Returns the instances that requested a lease here within the last `lease_ms`."""
         since_ms = now_ms - self._settings.lease_ms
         return tuple(sorted(member for member, at_ms in self.lease_requesters.items() if at_ms >= since_ms))
 
     def on_prepared(self, now_ms: float, number: int, reason: str = "") -> list[Action]:
-        """Takes note that a version is ready, or that this instance cannot act by it for `reason`."""
+        """Records that a version is prepared, or why it cannot be used; returns the resulting actions."""
         return [*self.lease_holder.on_prepared(now_ms, number, reason)]
 
     def on_validated(self, to: int, change: str, reason: str) -> list[Action]:
-        """Answers a `ValidateVersion`; an empty reason means that this instance could act by it."""
+        """Returns the reply to a validation request; an empty reason means that the version could be used."""
         return [Send(to, ValidationReply(change, reason[:MAX_REPLY_REASON_CHARACTERS]))]
 
     # Proposals
@@ -206,18 +206,18 @@
         """Proposes the next version.
 
         Args:
-            now_ms: The time.
-            digest: Of the policy's body.
-            change: A name by which its result is reported.
-            validators: Instances that are asked first whether they could act by it.
-            requester: Who wants it, for people.
-            reason: Why, for people.
-            acceptors: Those that vote on the version after it; None: the same as before.
-            dry_run: Only ask the validators.
+            now_ms: The time on the instance's monotonic clock.
+            digest: The digest of the policy's body.
+            change: The change's name, under which its result is reported.
+            validators: Instances that are asked first whether they could use the version.
+            requester: Who asks for the change; for operators.
+            reason: Why; for operators.
+            acceptors: The acceptors that vote on the version after it; None to leave them unchanged.
+            dry_run: Ask the validators only.
 
         Raises:
-            ProposalError: Another change is under way here.
-            AcceptorChangeError: These acceptors must not follow those before.
+            ProposalError: Another change is in progress at this instance.
+            AcceptorChangeError: The change of acceptors is not allowed.
         """
         if self.attempt is not None:
             raise ProposalError("a change is under way here: it ends, or is withdrawn, first")
@@ -242,20 +242,20 @@
         )
 
     def withdraw(self, change: str) -> list[Action]:
-        """Ends a change before the vote on it has begun.
+        """Withdraws a change before a vote on it is requested.
 
         Raises:
-            ProposalError: It is not under way here, or may be decided already.
+            ProposalError: The change is not in progress at this instance, or may be decided already.
         """
         attempt = self.attempt
-        if attempt is None or attempt.wanted is None or attempt.wanted.change != change:
+        if attempt is None or attempt.proposed_version is None or attempt.proposed_version.change != change:
             raise ProposalError(f"no change {change!r} is under way here")
         if attempt.votes_requested:
             raise ProposalError(
                 "seats were asked to vote for it: it may be decided. Wait for its end, then go back"
             )
-        # No acceptor knows the version, so that nobody can finish it later.
-        return self._end(attempt, ChangeOutcome.WITHDRAWN)
+        # No acceptor was asked to vote for the version, so no instance can complete it later.
+        return self._finish(attempt, ChangeOutcome.WITHDRAWN)
 
     def _start_attempt(
         self,
@@ -270,7 +270,7 @@
         proposal = Proposal(self.lease_holder.latest.version, ballot, version, validators, dry_run=dry_run)
         validates = bool(validators) and version is not None
         timeout_ms = VALIDATION_TIMEOUT_MS if validates else self._ballot_timeout_ms()
-        attempt = Attempt(proposal, now_ms + timeout_ms, proposal, wanted=version)
+        attempt = Attempt(proposal, now_ms + timeout_ms, proposal, proposed_version=version)
         if proposal.phase is Phase.VALIDATE:
             attempt.retry_ms = now_ms + VALIDATION_RETRY_MS
         if previous is not None:
@@ -281,7 +281,7 @@
         return self._advance(now_ms, attempt, proposal.start())
 
     def _ballot_timeout_ms(self) -> float:
-        # Two proposers that repeat at the same time would preempt each other for ever; so their times differ.
+        # Random, as two proposers that always retry at the same time would preempt each other forever.
         return BALLOT_TIMEOUT_MS * self._random.uniform(1.0, 2.0)
 
     def _on_deadline(self, now_ms: float, attempt: Attempt) -> list[Action]:
@@ -290,24 +290,24 @@
             attempt.deadline_ms = now_ms + self._ballot_timeout_ms()
             return self._advance(now_ms, attempt, proposal.prepare())
         if attempt.ballot_count >= MAX_BALLOTS:
-            # It may still be decided: an acceptor that has voted for it will finish it.
-            return self._end(attempt, ChangeOutcome.GIVEN_UP)
-        return self._start_attempt(now_ms, attempt.wanted, (), attempt)
+            # It may still be decided: an acceptor that has voted for it will complete the vote.
+            return self._finish(attempt, ChangeOutcome.GIVEN_UP)
+        return self._start_attempt(now_ms, attempt.proposed_version, (), attempt)
 
     def _advance(self, now_ms: float, attempt: Attempt, outputs: Sequence[ProposalAction]) -> list[Action]:
-        """Returns what follows from the proposal's outputs and from the phase that it is in now."""
+        """Returns the actions that result from the proposal's outputs and its current phase."""
         actions: list[Action] = []
         for output in outputs:
             if isinstance(output, Chosen):
                 actions += self._announce(now_ms, attempt, output.message)
             else:
-                if isinstance(output.message, Accept) and output.message.version == attempt.wanted:
+                if isinstance(output.message, Accept) and output.message.version == attempt.proposed_version:
                     attempt.votes_requested = True
                 actions.append(output)
         return actions + self._on_phase(now_ms, attempt)
 
     def _announce(self, now_ms: float, attempt: Attempt, decided: Decided) -> list[Action]:
-        before, after = attempt.proposal.before.acceptors, decided.version.acceptors
+        before, after = attempt.proposal.previous_version.acceptors, decided.version.acceptors
         acceptor_members = {acceptor_id.member for acceptor_id in (*before, *after)}
         receivers = {*self.live_members(now_ms), *acceptor_members, self.member}
         return [Send(receiver, decided) for receiver in sorted(receivers)]
@@ -315,35 +315,35 @@
     def _on_phase(self, now_ms: float, attempt: Attempt) -> list[Action]:
         match attempt.proposal.phase:
             case Phase.VALIDATED:
-                return self._end(attempt, ChangeOutcome.VALIDATED)
+                return self._finish(attempt, ChangeOutcome.VALIDATED)
             case Phase.REJECTED:
-                return self._end(attempt, ChangeOutcome.REJECTED)
+                return self._finish(attempt, ChangeOutcome.REJECTED)
             case Phase.DECIDED:
-                return self._end(attempt, attempt.outcome_if_decided(attempt.proposal.chosen))
+                return self._finish(attempt, attempt.outcome_if_decided(attempt.proposal.chosen))
             case Phase.PREEMPTED:
                 self._round = max(self._round, attempt.proposal.preempted_by.round)
                 attempt.deadline_ms = min(attempt.deadline_ms, now_ms + self._ballot_timeout_ms())
         return []
 
-    def _end_if_decided(self) -> list[Action]:
-        """Ends the attempt if a version of its number is decided, by whomever."""
+    def _finish_if_decided(self) -> list[Action]:
+        """Ends the attempt if a version with its number was decided, whoever proposed it."""
         attempt, latest = self.attempt, self.lease_holder.latest.version
         if attempt is None or latest.number < attempt.proposal.number:
             return []
-        return self._end(attempt, attempt.outcome_if_decided(latest))
+        return self._finish(attempt, attempt.outcome_if_decided(latest))
 
-    def _end(self, attempt: Attempt, outcome: ChangeOutcome) -> list[Action]:
+    def _finish(self, attempt: Attempt, outcome: ChangeOutcome) -> list[Action]:
         self.attempt = None
-        if attempt.wanted is None:
+        if attempt.proposed_version is None:
             return []
         # Later ballots do not ask the validators again.
         validated = attempt.first_proposal
         result = ChangeResult(
-            change=attempt.wanted.change,
+            change=attempt.proposed_version.change,
             outcome=outcome,
             rejections=dict(validated.rejections),
             unanswered=validated.unanswered,
-            accepted_by=tuple(sorted(validated.accepting)),
-            number=attempt.wanted.number,
+            approved_by=tuple(sorted(validated.approving)),
+            number=attempt.proposed_version.number,
         )
         return [result]
--- a/client_proxy/consensus/policy_source.py
+++ b/client_proxy/consensus/policy_source.py
@@ -1,7 +1,7 @@
-"""The fleet's policy by consensus, in the place of a watched file or a discovery service.
+"""The policy source that gets the fleet's policy by consensus, instead of from a file or a discovery service.
 
-An instance without a lease serves nothing: it is not ready, and rejects requests at once (or serves on, where
-operators chose `stale = "serve"`).
+An instance without a lease serves no requests: it is not ready, and rejects requests at once. With
+`stale = "serve"` it continues to serve.
 """
 
 from __future__ import annotations
@@ -41,27 +41,28 @@
 log = logging.getLogger(__name__)
 
 MAX_INCARNATION = 2**29
-FILE_LOOK_MS = 1000.0
-CHANGE_NAME_BYTES = 6  # of randomness, in the name of a change without one
+FILE_POLL_MS = 1000.0  # poll interval of the first version's file, as `FileSource` requires one
+CHANGE_NAME_BYTES = 6  # random bytes in the name that a change without a name gets
 
-Adopt = Callable[[Policy, dict[str, Any]], None]
-"""Acts by the policy from now on, with the list of servers in the message."""
+ApplyPolicy = Callable[[Policy, dict[str, Any]], None]
+"""Applies the policy from now on, with the server list in the message."""
 
 
-def change_name(stated: str) -> str:
-    """Return the name under which a change is reported and withdrawn, for the one that its author states.
+def change_name(requested_name: str) -> str:
+    """Returns the name under which a change is reported and withdrawn, for the name its author gave it.
 
-    As the node truncates it: under any other name the change would neither be found nor be withdrawn.
+    It is truncated exactly as the node does, as the change could not be found or withdrawn under another
+    name.
     """
-    return truncate_utf8(stated, MAX_CHANGE_BYTES)
+    return truncate_utf8(requested_name, MAX_CHANGE_BYTES)
 
 
 class ConsensusPolicySource(FileSource):
-    """Runs one instance's part in the protocol, and activates what the fleet decides.
+    """Runs the consensus node of one instance, and activates the versions that the fleet decides.
 
     Attributes:
-        node: The protocol.
-        rollout: The part in a rollout of a new policy.
+        node: The consensus node.
+        rollout: Executes this instance's part in a rollout of a new policy.
     """
 
     def __init__(
@@ -70,23 +71,23 @@
         folder: Path,
         directory: EndpointDirectory,
         on_endpoints: Callable[[EndpointsListed], None],
-        adopt: Adopt,
+        adopt: ApplyPolicy,
         zone: str = "",
     ) -> None:
         """Loads the stored state and binds the port.
 
         Args:
-            table: The instance's settings.
-            folder: Of its settings file.
-            directory: Takes the list of servers.
-            on_endpoints: Called with changes of the list.
-            adopt: Acts by a policy.
-            zone: Of the instance, for a rollout's counts.
+            table: The instance's `[agreement]` settings.
+            folder: The folder of its settings file.
+            directory: Receives the server list.
+            on_endpoints: Called with changes of the server list.
+            adopt: Applies a policy.
+            zone: The instance's zone, for the counts that it reports in a rollout.
 
         Raises:
-            TomlError, OSError: A file is not usable, or the port cannot be bound.
+            TomlError, OSError: A file is not usable, or the UDP port cannot be bound.
         """
-        super().__init__(folder / table.first, FILE_LOOK_MS, WatchSettings(), directory, on_endpoints)
+        super().__init__(folder / table.first, FILE_POLL_MS, WatchSettings(), directory, on_endpoints)
         self._adopt = adopt
         content = _read_first_policy(table, folder)
         keyring, peers = load_keyring(folder / table.keys), read_peers(table)
@@ -101,14 +102,14 @@
             self.node, self._store, keyring, peers, read_address(table.listen),
             self._validator.validate, self._activate,
         )  # fmt: skip
-        self.rollout = self._make_rollout(zone)
+        self.rollout = self._create_rollout_executor(zone)
         self._active_policy: Policy | None = None
         self._active_since_s = 0.0
 
-    def _make_rollout(self, zone: str) -> RolloutExecutor:
+    def _create_rollout_executor(self, zone: str) -> RolloutExecutor:
         rollout = RolloutExecutor(
             zone, self._incarnation, time.monotonic, self._transport.send_to_acceptors,
-            self._propose_rollout_step, self._drives_rollout,
+            self._propose_rollout_step, self._is_rollout_leader,
         )  # fmt: skip
         self._transport.on_outcome_report = rollout.receive_counts
         return rollout
@@ -127,36 +128,36 @@
         state = self._store.load_state()
         if state is None:
             if expected:
-                log.warning("this acceptor's state is lost or was never initialized: it does not vote")
+                log.warning("the acceptor's state was lost or never initialized, so it does not vote")
             return None
         if state.decided.version.number < self._first.version.number:
-            log.warning("this acceptor's state is of an earlier epoch: it does not vote")
+            log.warning("the acceptor's state belongs to an earlier epoch, so it does not vote")
             return None
         return state
 
     def _latest_stored(self) -> Decided:
-        """Returns the latest version that is stored, or the first one if that is of a later epoch."""
+        """Returns the latest stored version, or the first version if that belongs to a later epoch."""
         stored = self._store.decided()
         if stored is None or stored.version.number < self._first.version.number:
             return self._first
         return stored
 
-    # As `Discovery`
+    # The interface of `Discovery`
 
     async def bind(self) -> None:
-        """Binds the TCP port, before the instance serves anybody. Raises OSError if that cannot be done.
+        """Binds the TCP port, before the instance serves any request. Raises OSError if it cannot be bound.
 
-        Done in a task that nobody awaits, a failure went unseen: the instance served by the version that it
-        had, and no other instance could fetch a body from it.
+        The caller awaits it: in a task that nobody awaits a failure would go unnoticed, and the instance
+        would serve its stored version while no other instance could fetch a body from it.
         """
         await self._transport.bind()
 
     def start(self) -> None:
-        """Begins to take part; `bind` has been called."""
+        """Starts to take part in consensus. `bind` must have been called."""
         self._transport.start()
 
     def stop(self) -> None:
-        """Releases ports, timers and tasks."""
+        """Closes the ports and cancels timers and tasks."""
         super().stop()
         self.rollout.close()
         self._transport.close()
@@ -164,24 +165,24 @@
     # Leases and versions
 
     def may_serve_now(self) -> bool:
-        """Tells whether requests may be served now. Uses without a lease are counted and logged."""
+        """Returns whether requests may be served now. Uses without a lease are counted and logged."""
         return self._lease_monitor.may_serve()
 
     def _activate(self, version: Version, content: bytes) -> None:
-        whole = self._validator.policy_of(version, content)
+        full_policy = self._validator.policy_of(version, content)
         had_fleet = self.watcher.fleet is not None
-        self.rollout.activate_version(version.number, whole, content)
-        policy = whole.for_member(self.node.member)
+        self.rollout.activate_version(version.number, full_policy, content)
+        policy = full_policy.for_member(self.node.member)
         fleet = policy.fleet
         self.watcher.start(fleet)
         self._active_since_s = time.monotonic()
         classes = "" if policy.table is None else f", {len(policy.classes)} classes"
-        is_new = ", the new one" if policy is not whole else ""
+        candidate_note = ", the rollout's new policy" if policy is not full_policy else ""
         self._note(
-            f"taken: version {version.number}, {len(fleet.servers)} servers{classes}{is_new}, "
+            f"taken: version {version.number}, {len(fleet.servers)} servers{classes}{candidate_note}, "
             f"{fleet.digest[:8]}"
         )
-        # A step of a rollout at other instances changes nothing here.
+        # A rollout step that concerns other instances does not change the policy of this one.
         if self._active_policy is None or not has_same_effect(self._active_policy, policy):
             self._adopt(policy, self._message(fleet, had_fleet))
         self._active_policy = policy
@@ -189,11 +190,11 @@
     # Rollouts
 
     def _propose_rollout_step(self, content: bytes, reason: str) -> None:
-        """Proposes the rollout's next step, which was made from the version that is active here."""
-        self._transport.propose(content, self._name_of(""), "rollout", reason)
+        """Proposes the rollout's next step, which was derived from the version that is active here."""
+        self._transport.propose(content, self._change_name_or_default(""), "rollout", reason)
 
-    def _drives_rollout(self) -> bool:
-        """Tells whether this instance is the one that proposes a rollout's steps."""
+    def _is_rollout_leader(self) -> bool:
+        """Returns whether this instance is the one that proposes the rollout's steps."""
         acceptor, newest = self.node.acceptor, self.node.lease_holder.latest.version
         leased = self.node.lease_holder.leased_version(now_ms())
         if acceptor is None or not acceptor.can_vote or leased != newest:
@@ -208,37 +209,37 @@
             The change's name.
 
         Raises:
-            ValueError: A rollout is on, or it cannot be proposed here or now.
+            ValueError: A rollout is in progress, or the change cannot be proposed here or now.
             OSError: The policy cannot be stored.
         """
-        text = self._newest_body().decode()
-        self._require_newest_active()
-        name = self._name_of("")
+        text = self._latest_body().decode()
+        self._require_latest_active()
+        name = self._change_name_or_default("")
         self._transport.propose(self.rollout.started_file(text, table), name, requester, reason)
         return name
 
     def order_rollout(self, order: str, requester: str, reason: str) -> str:
-        """Proposes to `pause` the rollout, to `go-on` with it, or to go `back`.
+        """Proposes to pause the rollout, to continue it or to roll it back (`pause`, `go-on` or `back`).
 
         Returns:
             The change's name.
 
         Raises:
-            ValueError: No rollout is on, or it cannot be proposed here or now.
+            ValueError: No rollout is in progress, or the change cannot be proposed here or now.
             OSError: The policy cannot be stored.
         """
-        self._require_newest_active()
+        self._require_latest_active()
         content, description = self.rollout.apply_order(order)
-        name = self._name_of("")
+        name = self._change_name_or_default("")
         self._transport.propose(content, name, requester, f"{description}: {reason}")
         return name
 
-    def _require_newest_active(self) -> None:
-        """Checks that the active version is the latest, which an order made from an older one would undo."""
+    def _require_latest_active(self) -> None:
+        """Checks that the active version is the latest, as an order based on an older one would undo it."""
         if self.node.lease_holder.active_version != self.node.lease_holder.latest.version:
             raise ProposalError("a newer version is about to decide here: look at it, and say it again")
 
-    def _newest_body(self) -> bytes:
+    def _latest_body(self) -> bytes:
         content = self._store.body(self.node.lease_holder.latest.version.digest)
         if content is None:
             raise ProposalError("the newest version's body is not here yet")
@@ -259,64 +260,63 @@
         """Proposes a policy.
 
         Args:
-            content: The policy's file.
-            change: A name by which its result is reported; empty: one is drawn.
-            after: The version that the file was made from. Of two changes made from one file the later would
-                undo the earlier.
-            requester: Who wants it, for people.
-            reason: Why, for people.
-            dry_run: Only ask whether all instances could act by it.
+            content: The content of the policy's file.
+            change: The change's name, under which its result is reported; empty to draw a random one.
+            after: The version that the file was edited from; if given, it must be the latest. Of two changes
+                edited from the same version the later would undo the earlier.
+            requester: Who asks for the change; for operators.
+            reason: Why; for operators.
+            dry_run: Only ask whether all instances could use the policy.
             excluded: Instances that are not asked.
 
         Returns:
             The change's name.
 
         Raises:
-            ValueError: It cannot be proposed here, or not now.
+            ValueError: The change cannot be proposed here or now.
             OSError: The policy cannot be stored.
         """
         newest = self.node.lease_holder.latest.version.number
         if after is not None and after != newest:
             raise ProposalError(f"made from version {after}, and the newest is {newest}: look at it again")
-        name = self._name_of(change)
+        name = self._change_name_or_default(change)
         self._check_keeps_rollout(content)
         self._transport.propose(content, name, requester, reason, dry_run=dry_run, excluded=excluded)
         return name
 
-    def _name_of(self, change: str) -> str:
+    def _change_name_or_default(self, change: str) -> str:
         return change_name(change) or f"{self.node.member}-{os.urandom(CHANGE_NAME_BYTES).hex()}"
 
     def roll_back(self, number: int, requester: str = "", reason: str = "", change: str = "") -> str:
-        """Proposes the policy of an earlier version as a version of its own.
+        """Proposes the policy of an earlier version as a new version.
 
         Returns:
             The change's name.
 
         Raises:
-            ValueError: The version is not stored, or it cannot be proposed here or now.
+            ValueError: The version is not stored here, or the change cannot be proposed here or now.
             OSError: The policy cannot be stored.
         """
         version = self._find_version(number)
         content = self._store.body(version.digest) if version is not None else None
         if content is None:
             raise ProposalError(f"version {number} is not kept here")
-        name = self._name_of(change)
+        name = self._change_name_or_default(change)
         self._check_keeps_rollout(content)
         self._transport.propose(content, name, requester, reason or f"back to version {number}")
         return name
 
     def _check_keeps_rollout(self, content: bytes) -> None:
-        """Checks that a policy goes on with the rollout that is on.
+        """Checks that a proposed policy contains the rollout in progress.
 
-        A file made without regard to it would end it midway, and half of the fleet would change its policy at
-        once.
+        A file without it would end the rollout midway, and half of the fleet would change its policy at once.
         """
         try:
-            # The latest version, which may not be active here yet.
-            running = read_policy(self._newest_body(), "the newest").rollout
+            # The latest version may not be active here yet.
+            running = read_policy(self._latest_body(), "the newest").rollout
             proposed = read_policy(content, "the policy").rollout
         except TomlError:
-            return  # What is wrong with a file is reported by its validation.
+            return  # Errors of the file are reported by its validation.
         if running is None:
             return
         if proposed is None or proposed.name != running.name:
@@ -336,41 +336,43 @@
         reason: str = "",
         change: str = "",
     ) -> str:
-        """Proposes the same policy with one acceptor more, one fewer, or another storage id for one.
+        """Proposes the same policy with one acceptor added, removed or replaced.
 
         Args:
-            add: The acceptor that is added, or replaces the one of the same instance.
-            remove: The instance whose acceptor is removed, if none is added.
-            requester: Who wants it, for people.
-            reason: Why, for people.
-            change: A name by which its result is reported; empty: one is drawn.
+            add: The acceptor to add; it replaces the one of the same instance. None to remove one.
+            remove: The instance whose acceptor is removed; only used if `add` is None.
+            requester: Who asks for the change; for operators.
+            reason: Why; for operators.
+            change: The change's name, under which its result is reported; empty to draw a random one.
 
         Returns:
             The change's name.
 
         Raises:
-            ValueError: There is no such acceptor, or it cannot be proposed here or now.
+            ValueError: There is no such acceptor, or the change cannot be proposed here or now.
             OSError: The policy cannot be stored.
         """
         newest = self.node.lease_holder.latest.version
-        content = self._newest_body()
-        gone = add.member if add is not None else remove
-        acceptors = tuple(acceptor_id for acceptor_id in newest.acceptors if acceptor_id.member != gone)
+        content = self._latest_body()
+        replaced_member = add.member if add is not None else remove
+        acceptors = tuple(
+            acceptor_id for acceptor_id in newest.acceptors if acceptor_id.member != replaced_member
+        )
         if add is None and len(acceptors) == len(newest.acceptors):
             raise ProposalError(f"member {remove} has no seat")
-        name = self._name_of(change)
+        name = self._change_name_or_default(change)
         acceptors = (*acceptors, add) if add is not None else acceptors
         self._transport.propose(content, name, requester, reason, tuple(sorted(acceptors)))
         return name
 
     def withdraw(self, change: str) -> None:
-        """Ends a change before the vote on it has begun. Raises ProposalError if that is too late."""
+        """Withdraws a change before a vote on it is requested. Raises ProposalError if it is too late."""
         self._transport.withdraw(change)
 
     # Answers of the control socket
 
     def history(self) -> list[dict[str, Any]]:
-        """Returns the first version and the latest ones, the oldest of them first."""
+        """Returns the first version and the latest versions, oldest first."""
         first = self._first.version
         later = [decided.version for decided in self._store.history()]
         versions = [first, *(version for version in later if version.number != first.number)]
@@ -380,7 +382,7 @@
         ]
 
     def status(self) -> dict[str, Any]:
-        """Returns the state of this instance's part in the protocol."""
+        """Returns the consensus status of this instance."""
         return status_answer(
             self.node,
             now_ms(),
--- a/client_proxy/consensus/policy_validator.py
+++ b/client_proxy/consensus/policy_validator.py
@@ -1,4 +1,4 @@
-"""Whether an instance could act by a proposed or decided policy."""
+"""Validation of proposed and decided policies at one instance."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from client_proxy.consensus.messages import Version
 from client_proxy.toml_table import TomlError
 
-MAX_LEAVING_SHARE = 0.5  # a proposal that drops more servers than this looks like an error
+MAX_LEAVING_SHARE = 0.5  # a proposal that removes a larger share of the servers is probably a mistake
 
 
 @dataclass(frozen=True, slots=True)
 class CheckedPolicy:
-    """A policy that was validated, and the digest of its file."""
+    """A validated policy and the digest of its file."""
 
     digest: str
     policy: Policy
 
 
 class PolicyValidator:
-    """Validates policies at one instance, and keeps the last one for its activation."""
+    """Validates policies at one instance, and caches the latest one for its activation."""
 
     def __init__(self, member: int, acceptor_members: Collection[int], watcher: FileWatcher) -> None:
         self._member, self._acceptor_members = member, set(acceptor_members)
@@ -31,16 +31,16 @@
         self._checked: CheckedPolicy | None = None
 
     def validate(self, content: bytes, version: Version, proposed: bool) -> str:
-        """Returns why this instance could not act by a version; empty: it could.
+        """Returns why this instance could not use a version; empty if it could.
 
-        While it is proposed, a likely error beside the running list is a reason, too. Of a decided one it is
-        not: an instance that comes back may have missed several changes.
+        A proposed version is also rejected if its server list, compared with the current one, is probably a
+        mistake. A decided version is not, as an instance that was down may have missed several changes.
         """
         try:
             policy = read_policy(content, "the policy")
         except TomlError as error:
             return str(error).splitlines()[0]
-        reason = self._find_obstacle(policy, version)
+        reason = self._find_incompatibility(policy, version)
         if reason:
             return reason
         if proposed:
@@ -49,13 +49,13 @@
         return reason
 
     def policy_of(self, version: Version, content: bytes) -> Policy:
-        """Returns the policy of a version. Raises TomlError if it was not validated and is not usable."""
+        """Returns a version's policy. Raises TomlError if it is not the last validated one and not valid."""
         checked = self._checked
         if checked is not None and checked.digest == version.digest:
             return checked.policy
         return read_policy(content, f"version {version.number}")
 
-    def _find_obstacle(self, policy: Policy, version: Version) -> str:
+    def _find_incompatibility(self, policy: Policy, version: Version) -> str:
         if not policy.fleet.usable:
             return "no server would get any work"
         members = {acceptor_id.member for acceptor_id in version.acceptors}
@@ -77,7 +77,7 @@
 
 
 def has_same_effect(left: Policy, right: Policy) -> bool:
-    """Tells whether an instance acts alike by both policies."""
+    """Returns whether both policies have the same effect at an instance."""
     return (left.fleet.servers, left.table, left.classes, left.operators) == (
         right.fleet.servers,
         right.table,
--- a/client_proxy/consensus/proposer.py
+++ b/client_proxy/consensus/proposer.py
@@ -1,10 +1,10 @@
-"""One ballot of a proposal: of its author, or of an acceptor that finishes what an author left.
+"""The proposer role: one ballot of a change's author, or of an acceptor that completes another's vote.
 
-The author asks all live instances first (`ValidationRequest`); one that cannot act by the change ends it,
-with its reason. Then follows a decree of Paxos: `Prepare` to the acceptors, and with promises of a majority
-either what one of them has voted for already, in the highest ballot, or the author's own version. So a change
-that may have been chosen is finished and never replaced, and the author learns by `Version.change` whether it
-was its own.
+The author first asks all live instances to validate the change (`ValidationRequest`); an instance that cannot
+use it rejects it with a reason, which ends the proposal. Then follows one instance of Paxos: `Prepare` to the
+acceptors and, after promises of a majority, `Accept` with the version that one of them voted for in the
+highest ballot or, if none has voted, with the author's own version. So a version that may have been chosen is
+completed and never replaced, and the author recognizes by `Version.change` whether its own change was chosen.
 """
 
 from __future__ import annotations
@@ -33,20 +33,24 @@
 
 
 class Phase(Enum):
-    """How far a proposal has come."""
+    """Progress of a proposal."""
 
     VALIDATE = "validate"
     PREPARE = "prepare"
     ACCEPT = "accept"
-    VALIDATED = "validated"  # A dry run has its answers.
+    VALIDATED = "validated"  # A dry run has ended without a rejection.
     DECIDED = "decided"
-    REJECTED = "rejected"  # By an instance that cannot act by it: no acceptor was asked for a vote.
-    PREEMPTED = "preempted"  # By a higher ballot: to be repeated with one above `preempted_by`.
+    REJECTED = (
+        "rejected"  # By a validator, before any acceptor was contacted; or there was nothing to complete.
+    )
+    PREEMPTED = (
+        "preempted"  # By a higher ballot; the proposal has to be repeated with one above `preempted_by`.
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """Action: the version is decided; send the message to all instances."""
+    """Action: the version is decided; send `message` to all instances."""
 
     message: Decided
 
@@ -56,29 +60,29 @@
 
 @dataclass
 class Proposal:
-    """One ballot.
+    """One ballot of a proposal.
 
     Attributes:
-        before: The latest decided version; the proposal is for the number after it.
+        previous_version: The latest decided version; the proposal is for the number after it.
         ballot: The ballot's number.
-        version: What is wanted; None: only to finish what another proposer began.
-        validators: Instances that are asked whether they can act by it.
-        phase: How far it has come.
-        accepting: Validators that could act by it.
-        rejections: Validators that could not, with their reasons.
-        promises: By acceptor.
-        votes: By acceptor.
-        preempted_by: The highest ballot that an acceptor has promised instead.
-        chosen: The version that acceptors are asked to vote for.
-        dry_run: End after validation.
+        version: The author's version; None to complete the vote of another proposer.
+        validators: Instances that are asked whether they could use the version.
+        phase: The proposal's progress.
+        approving: Validators that could use the version.
+        rejections: Reasons of the validators that could not use it, by instance number.
+        promises: Received promises, by acceptor.
+        votes: Received votes, by acceptor.
+        preempted_by: The higher ballot that an acceptor has promised.
+        chosen: The version that the acceptors are asked to vote for.
+        dry_run: End after the validation.
     """
 
-    before: Version
+    previous_version: Version
     ballot: Ballot
     version: Version | None
     validators: tuple[int, ...] = ()
     phase: Phase = Phase.VALIDATE
-    accepting: set[int] = field(default_factory=set)
+    approving: set[int] = field(default_factory=set)
     rejections: dict[int, str] = field(default_factory=dict)
     promises: dict[AcceptorId, Promise] = field(default_factory=dict)
     votes: dict[AcceptorId, Vote] = field(default_factory=dict)
@@ -88,27 +92,27 @@
 
     @property
     def number(self) -> int:
-        """The number that the version gets."""
-        return self.before.number + 1
+        """The number of the proposed version."""
+        return self.previous_version.number + 1
 
     @property
     def unanswered(self) -> tuple[int, ...]:
-        """Validators that have not answered: they are down, stopped or cut off."""
+        """Validators that have not answered, for example because they are down, stopped or partitioned."""
         return tuple(
             member
             for member in self.validators
-            if member not in self.accepting and member not in self.rejections
+            if member not in self.approving and member not in self.rejections
         )
 
     def start(self) -> list[Action]:
-        """Asks the validators, or the acceptors if there are none."""
+        """Returns the requests to the validators, or to the acceptors if there are no validators."""
         if self.version is None or not self.validators:
             return self.prepare()
-        # No acceptor is asked for anything yet: until then the change can be withdrawn without a trace.
+        # No acceptor is contacted yet, so the change can still be withdrawn without leaving any state.
         return [*self._validation_requests(self.validators)]
 
     def retry_validation(self) -> list[Send]:
-        """Asks those once more that have not answered, as messages may have been lost."""
+        """Returns requests to the validators that have not answered, as messages may have been lost."""
         return self._validation_requests(self.unanswered) if self.phase is Phase.VALIDATE else []
 
     def _validation_requests(self, members: tuple[int, ...]) -> list[Send]:
@@ -118,7 +122,7 @@
         return [Send(member, request) for member in members]
 
     def prepare(self) -> list[Action]:
-        """Goes on to the vote: all validators have answered, or the time for answers is over."""
+        """Starts the vote when all validators have answered or the time for answers is over."""
         if self.phase is not Phase.VALIDATE or self.rejections:
             return []
         if self.dry_run:
@@ -128,10 +132,10 @@
         return self._send_to_acceptors(Prepare(self.number, self.ballot))
 
     def _send_to_acceptors(self, message: Message) -> list[Action]:
-        return [Send(acceptor_id.member, message) for acceptor_id in self.before.acceptors]
+        return [Send(acceptor_id.member, message) for acceptor_id in self.previous_version.acceptors]
 
     def handle(self, sender: int, message: Message) -> list[Action]:
-        """Returns what follows from a message."""
+        """Handles a message and returns the resulting actions."""
         match message:
             case ValidationReply() if self.phase is Phase.VALIDATE:
                 return self._handle_validation_reply(sender, message)
@@ -151,26 +155,28 @@
             self.rejections[sender] = message.reason
             self.phase = Phase.REJECTED
             return []
-        self.accepting.add(sender)
-        return self.prepare() if self.accepting == set(self.validators) else []
+        self.approving.add(sender)
+        return self.prepare() if self.approving == set(self.validators) else []
 
     def _is_for_this_ballot(self, sender: int, message: Promise | Accepted, acceptor_id: AcceptorId) -> bool:
         if message.number != self.number or message.ballot != self.ballot:
             return False
-        return acceptor_id.member == sender and acceptor_id in self.before.acceptors
+        return acceptor_id.member == sender and acceptor_id in self.previous_version.acceptors
 
     def _handle_promise(self, sender: int, message: Promise) -> list[Action]:
         if not self._is_for_this_ballot(sender, message, message.acceptor_id):
             return []
         self.promises[message.acceptor_id] = message
-        if len(self.promises) < majority(len(self.before.acceptors)):
+        if len(self.promises) < majority(len(self.previous_version.acceptors)):
             return []
-        with_vote = [promise for promise in self.promises.values() if promise.accepted_version is not None]
-        # Two versions of one number would be decided if one that a majority may have voted for were replaced.
-        highest = max(with_vote, key=lambda promise: promise.accepted_ballot, default=None)
+        promises_with_vote = [
+            promise for promise in self.promises.values() if promise.accepted_version is not None
+        ]
+        # A majority may have voted for it: replacing it could decide two versions of one number.
+        highest = max(promises_with_vote, key=lambda promise: promise.accepted_ballot, default=None)
         self.chosen = highest.accepted_version if highest is not None else self.version
         if self.chosen is None:
-            self.phase = Phase.REJECTED  # There was nothing to finish.
+            self.phase = Phase.REJECTED  # There was no vote to complete.
             return []
         self.phase = Phase.ACCEPT
         return self._send_to_acceptors(Accept(self.ballot, self.chosen))
@@ -179,7 +185,7 @@
         if not self._is_for_this_ballot(sender, message, message.vote.acceptor_id) or self.chosen is None:
             return []
         self.votes[message.vote.acceptor_id] = message.vote
-        if len(self.votes) < majority(len(self.before.acceptors)):
+        if len(self.votes) < majority(len(self.previous_version.acceptors)):
             return []
         self.phase = Phase.DECIDED
         votes = tuple(sorted(self.votes.values(), key=lambda vote: vote.acceptor_id))
--- a/client_proxy/consensus/signer.py
+++ b/client_proxy/consensus/signer.py
@@ -1,9 +1,9 @@
 """Authentication of datagrams between instances.
 
-A datagram is the sender's number (4 bytes, big-endian), its signature, the message, and a MAC over all of it.
-The MAC is BLAKE2b keyed with the group's key (RFC 7693). Instances with an acceptor also sign with their own
-key (Ed25519, RFC 8032), and their messages are not read without it; the others send zeros in its place. So a
-faulty member cannot speak for an acceptor.
+A datagram consists of the sender's number (4 bytes, big-endian), its signature, the message, and a MAC of all
+these. The MAC is BLAKE2b keyed with the group's key (RFC 7693). Instances with an acceptor also sign with
+their own key (Ed25519, RFC 8032), and their datagrams are dropped without a valid signature; other instances
+send zeros in its place. So a faulty member cannot impersonate an acceptor.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from client_proxy.membership.messages import SIGNATURE_BYTES
 
 _SENDER = struct.Struct(">I")
-_SIGNED_BYTES = _SENDER.size + SIGNATURE_BYTES  # ahead of the message
+_SIGNED_BYTES = _SENDER.size + SIGNATURE_BYTES  # sender and signature, before the message
 NO_SIGNATURE = bytes(SIGNATURE_BYTES)
 MAX_DATAGRAM_BYTES = _SIGNED_BYTES + MAX_MESSAGE_BYTES + MAC_BYTES
 
@@ -32,8 +32,8 @@
     """An instance with an acceptor.
 
     Attributes:
-        member: Its number.
-        address: Where it listens, UDP and TCP.
+        member: The instance's number.
+        address: The address on which it listens, UDP and TCP.
         public: Its public key.
     """
 
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AuthenticatedMessage:
-    """What an accepted datagram holds: the sender's number and the encoded message."""
+    """The content of an authentic datagram: the sender's number and the encoded message."""
 
     sender: int
     data: bytes
 
 
 def acceptor_verifier(peers: Mapping[int, Peer], keyring: Keyring) -> Verify:
-    """Returns a function that checks an acceptor's signature by its instance's public key."""
+    """Returns a function that checks an acceptor's signature with its instance's public key."""
 
     def verify(acceptor_id: AcceptorId, content: bytes, signature: bytes) -> bool:
         peer = peers.get(acceptor_id.member)
@@ -61,7 +61,7 @@
 
 
 class DatagramSigner:
-    """Signs what one instance sends and checks what it receives."""
+    """Signs the datagrams that one instance sends and authenticates those that it receives."""
 
     def __init__(self, member: int, keyring: Keyring, peers: Mapping[int, Peer]) -> None:
         self._member, self._keyring, self._peers = member, keyring, peers
@@ -75,7 +75,7 @@
         return body + self.mac(self._keyring.sending_group, body)
 
     def open(self, datagram: bytes) -> AuthenticatedMessage | None:
-        """Returns what the datagram holds; None: it is too short or not authentic."""
+        """Returns the datagram's content, or None if it is too short or not authentic."""
         body, mac = datagram[:-MAC_BYTES], datagram[-MAC_BYTES:]
         if len(body) <= _SIGNED_BYTES:
             return None
@@ -91,5 +91,5 @@
         return AuthenticatedMessage(sender, data)
 
     def mac(self, group: int, body: bytes) -> bytes:
-        """Returns the MAC by the key of this group."""
+        """Returns the MAC of the body with the key of this group."""
         return blake2b(body, key=self._keyring.group_keys[group], digest_size=MAC_BYTES).digest()
--- a/client_proxy/consensus/simulated_cluster.py
+++ b/client_proxy/consensus/simulated_cluster.py
@@ -1,9 +1,9 @@
-"""Many instances on a virtual clock: the protocol's own nodes, with delays and losses between them.
+"""A simulated cluster: the real consensus nodes on a virtual clock, with message delays and losses.
 
-There are no sockets, signatures or disks: it shows how the protocol behaves at sizes that no machine holds as
-processes. One seed gives one run. Each message takes a time drawn evenly from `delay_ms`; a share of them is
-lost; a body is fetched in two such times and read in `read_ms`; what an acceptor stores takes `sync_ms`
-before it is sent.
+It has no sockets, signatures or disks, and shows how the protocol behaves at sizes that one machine cannot
+run as processes. Runs with the same seed are equal. Each message takes a time drawn uniformly from
+`delay_ms`, and a share of the messages is lost. Fetching a body takes two such delays and reading it
+`read_ms`. Messages that depend on an acceptor's state are delayed by `sync_ms`, the time to store it.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterSettings:
-    """A cluster's size and its environment.
+    """Size and environment of a simulated cluster.
 
     Attributes:
-        size: Instances.
-        acceptors: Those of them with an acceptor.
+        size: Number of instances.
+        acceptors: Number of instances with an acceptor.
         lease_ms: Length of a lease.
-        delay_ms: Least and most time of a message.
+        delay_ms: Shortest and longest delay of a message.
         loss: Share of messages that are lost.
         read_ms: Time to read a body.
         sync_ms: Time to store an acceptor's state.
-        seed: Of delays and losses.
+        seed: Seed of all random draws, such as delays and losses.
     """
 
     size: int = 200
@@ -58,17 +58,17 @@
 
 @dataclass
 class SimulatedCluster:
-    """A running cluster. Instances are numbered from 0, those with an acceptor first.
+    """A running cluster. Instances are numbered from 0; those with an acceptor come first.
 
     Attributes:
-        settings: Its size and environment.
+        settings: Size and environment.
         now_ms: The virtual time.
-        nodes: By instance.
+        nodes: The nodes, by instance.
         down: Instances that are down.
-        activated_ms: By a version's number and by instance: when it was activated first.
-        results: Of changes that have ended.
-        messages: Sent messages, by the name of their type.
-        bytes_sent: Of all messages, without headers.
+        activated_ms: Time of the first activation, by version number and instance.
+        results: Results of the changes that have ended.
+        messages: Number of sent messages, by the name of their type.
+        bytes_sent: Total bytes of encoded messages, without headers.
     """
 
     settings: ClusterSettings
@@ -91,7 +91,7 @@
             self.start_node(member)
 
     def start_node(self, member: int, stored: Decided | None = None) -> None:
-        """Starts an instance, with the latest version that it has stored if there is one."""
+        """Starts an instance from the latest version that it stored, or else from the first version."""
         decided = stored or self._first
         has_acceptor = member < self.settings.acceptors
         state = AcceptorState(AcceptorId(member, 1), decided) if has_acceptor else None
@@ -110,32 +110,32 @@
         )
         self.down.discard(member)
         self._timers_ms.pop(member, None)
-        # Not all at the same moment.
+        # The first timers are spread, so that instances do not all request leases at the same time.
         self.call_after(self._random.uniform(0.0, renew_ms), partial(self._on_timer, member))
 
     def kill(self, member: int) -> None:
-        """Stops an instance."""
+        """Stops an instance abruptly."""
         self.down.add(member)
 
     def restart(self, member: int) -> None:
-        """Starts an instance again with what it knew."""
+        """Starts an instance again from the latest version that it knew."""
         self.start_node(member, self.nodes[member].lease_holder.latest)
 
-    # The clock
+    # Virtual clock
 
     def call_after(self, delay_ms: float, call: Callable[[], None]) -> None:
-        """Calls a function at a virtual time; calls at the same time are made in this order."""
+        """Schedules a call at a virtual time; calls due at the same time run in the order of scheduling."""
         self._call_count += 1
         heapq.heappush(self._calls, (self.now_ms + delay_ms, self._call_count, call))
 
     def run(self, until_ms: float) -> None:
-        """Makes all calls that are due until then."""
+        """Runs all calls that are due up to `until_ms`."""
         while self._calls and self._calls[0][0] <= until_ms:
             self.now_ms, _, call = heapq.heappop(self._calls)
             call()
         self.now_ms = until_ms
 
-    # The nodes
+    # Nodes
 
     def _on_timer(self, member: int) -> None:
         if member in self.down:
@@ -151,7 +151,7 @@
             self.call_after(due_ms - self.now_ms, partial(self._on_armed_timer, member, node, due_ms))
 
     def _on_armed_timer(self, member: int, node: Node, due_ms: float) -> None:
-        """Wakes the node if it was not restarted and its timer not set to another time meanwhile."""
+        """Calls the node's timer unless the node was restarted or its timer was set to another time since."""
         if self.nodes[member] is node and self._timers_ms.get(member) == due_ms:
             self._on_timer(member)
 
@@ -160,7 +160,7 @@
             self.execute(member, self.nodes[member].handle(self.now_ms, sender, message))
 
     def execute(self, member: int, actions: Sequence[Action]) -> None:
-        """Carries out a node's actions."""
+        """Executes a node's actions."""
         sync_ms = 0.0
         node = self.nodes[member]
         for action in actions:
@@ -180,7 +180,7 @@
                 case ChangeResult():
                     self.results.append(action)
                 case SendPastVersion():
-                    pass  # There is no disk; another node still has the version in memory.
+                    pass  # There is no disk to read from; another node still has the version in memory.
         self._arm_timer(member)
 
     def _body_ms(self) -> float:
@@ -211,13 +211,13 @@
     # Changes
 
     def propose(self, member: int, digest: str) -> None:
-        """Proposes a version at this instance, under its digest as the change's name."""
+        """Proposes a version at this instance, with its digest as the name of the change."""
         node = self.nodes[member]
         validators = tuple(other for other in node.live_members(self.now_ms) if other != member)
         self.execute(member, node.propose(self.now_ms, digest, digest, validators))
 
     def count_active(self, number: int) -> int:
-        """Returns how many instances may act by this version now."""
+        """Returns the number of instances with a valid lease on this version."""
         leased = (
             node.lease_holder.leased_version(self.now_ms)
             for member, node in self.nodes.items()
--- a/client_proxy/consensus/store.py
+++ b/client_proxy/consensus/store.py
@@ -1,8 +1,8 @@
-"""What an instance stores of the protocol: its acceptor's state, decided versions, and bodies of policies.
+"""The files in which an instance stores its acceptor's state, decided versions, and policy bodies.
 
-A file of state carries a digest of its content, so that one that is torn can be told from a whole one; it
-counts as lost. Files are written under a draft's name, synced and renamed, and the folder is synced. The
-names of files are those of earlier releases.
+A state file starts with a digest of its content, by which a torn file is recognized; it counts as lost. Files
+are written under a temporary name, synced and renamed, and then the folder is synced. File names are the same
+as in earlier releases.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from client_proxy.consensus.messages import Decided
 
 DIGEST_BYTES = 16
-MAX_DECIDED_BODIES = 20  # of decided versions, to roll back to
+MAX_DECIDED_BODIES = 20  # of decided versions, for rollbacks
 MAX_PROPOSED_BODIES = 4  # of versions that were only proposed
 VERSIONS_PER_SEGMENT = 64
 MAX_SEGMENTS = 64
@@ -35,7 +35,7 @@
 
 
 class Store:
-    """Stored state of one instance. What writes raises OSError where the disk does."""
+    """Stored state of one instance. Methods that write raise OSError if the disk fails."""
 
     def __init__(self, files: StorageFolder) -> None:
         self._files = files
@@ -59,14 +59,14 @@
         content = msgspec.msgpack.encode(value)
         self._write(name, blake2b(content, digest_size=DIGEST_BYTES).digest() + content)
 
-    def _read_checked(self, name: str, kind: type[T]) -> T | None:
-        """Returns None if the file is not there, is torn or holds no such value."""
+    def _read_checked(self, name: str, value_type: type[T]) -> T | None:
+        """Returns the value in a state file; None if the file is missing, torn or not of this type."""
         try:
-            whole = self._files.read(name)
-            content = whole[DIGEST_BYTES:]
-            if blake2b(content, digest_size=DIGEST_BYTES).digest() != whole[:DIGEST_BYTES]:
+            data = self._files.read(name)
+            content = data[DIGEST_BYTES:]
+            if blake2b(content, digest_size=DIGEST_BYTES).digest() != data[:DIGEST_BYTES]:
                 return None
-            return msgspec.msgpack.decode(content, type=kind)
+            return msgspec.msgpack.decode(content, type=value_type)
         except (OSError, msgspec.DecodeError):
             return None
 
@@ -76,7 +76,7 @@
     # State
 
     def load_state(self) -> AcceptorState | None:
-        """Returns the acceptor's state; None: there is none, or it was lost."""
+        """Returns the acceptor's state; None if there is none or it was lost."""
         return self._read_checked(ACCEPTOR_FILE, AcceptorState)
 
     def save_state(self, state: AcceptorState) -> None:
@@ -84,21 +84,21 @@
         self._write_checked(ACCEPTOR_FILE, state)
 
     def decided(self) -> Decided | None:
-        """Returns the latest decided version; None: none is stored."""
+        """Returns the latest decided version; None if none is stored."""
         return self._read_checked(DECIDED_FILE, Decided)
 
     def save_decided(self, decided: Decided) -> None:
         """Stores the latest decided version."""
         self._write_checked(DECIDED_FILE, decided)
 
-    # Decided versions by number, in segments, for instances that are far behind and for people
+    # Decided versions by number, in segment files, for instances that lag far behind and for operators
 
     def past(self, number: int) -> Decided | None:
-        """Returns the decided version of this number; None: it is not stored."""
+        """Returns the decided version with this number; None if it is not stored."""
         return self._read_segment(_segment_name(number)).get(number)
 
     def save_past(self, decided: Decided) -> None:
-        """Adds a decided version to its segment. The oldest segments go beyond `MAX_SEGMENTS`."""
+        """Adds a decided version to its segment, and removes the oldest segments beyond `MAX_SEGMENTS`."""
         number = decided.version.number
         name = _segment_name(number)
         segment = self._read_segment(name)
@@ -113,23 +113,23 @@
         return self._read_checked(name, dict[int, Decided]) or {}
 
     def history(self, max_versions: int = VERSIONS_PER_SEGMENT) -> list[Decided]:
-        """Returns the latest decided versions, the oldest of them first."""
+        """Returns the latest decided versions, oldest first."""
         try:
             names = self._segment_names()
         except OSError:
             return []
-        found: list[Decided] = []
+        versions: list[Decided] = []
         for name in reversed(names):
             segment = self._read_segment(name)
-            found = [segment[number] for number in sorted(segment)] + found
-            if len(found) >= max_versions:
+            versions = [segment[number] for number in sorted(segment)] + versions
+            if len(versions) >= max_versions:
                 break
-        return found[-max_versions:]
+        return versions[-max_versions:]
 
-    # Bodies of policies
+    # Policy bodies
 
     def body(self, digest: str) -> bytes | None:
-        """Returns the body with this digest; None: it is not stored, or spoilt."""
+        """Returns the body with this digest; None if it is not stored or corrupt."""
         try:
             content = self._files.read(BODY_PREFIX + digest)
         except OSError:
@@ -141,7 +141,7 @@
 
         Args:
             content: The body.
-            needed_digests: Of bodies that must stay; others go beyond `MAX_PROPOSED_BODIES`.
+            needed_digests: Digests of bodies to keep; others are removed beyond `MAX_PROPOSED_BODIES`.
         """
         digest = digest_of(content)
         if self.body(digest) is None:
--- a/client_proxy/consensus/transport.py
+++ b/client_proxy/consensus/transport.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of one instance's `Node`: datagrams, transfer of bodies, the disk and the clock."""
+"""Executes the actions of one instance's `Node`: datagrams, body transfers, disk writes and timers."""
 
 from __future__ import annotations
 
@@ -37,26 +37,26 @@
 FETCH_RETRY_S = 1.0
 MIN_TIMER_S = 0.001
 MAX_ADDRESSES = 10_000
-MAX_CONCURRENT_VALIDATIONS = 16  # bodies of proposals and versions that are fetched at a time
+MAX_CONCURRENT_VALIDATIONS = 16  # tasks that fetch the body of a proposal or version at the same time
 MAX_RESULTS = 16
 
 UNRECOGNIZED_VERSION = (
-    "version %d is stored here, and most acceptors know only %d: this folder belongs to another fleet, "
-    "or their state was lost; no version is in use here"
+    "version %d is stored here, but most acceptors know only %d: the stored state belongs to another fleet, "
+    "or the acceptors lost theirs; this instance gets no lease"
 )
 
 Validate = Callable[[bytes, Version, bool], str]
-"""Returns why this instance could not act by a version with that body; empty: it could.
+"""Returns why this instance could not use a version with this body; empty if it could.
 
-The last argument is true while the version is only proposed."""
+The last argument is true if the version is only proposed."""
 
 Activate = Callable[[Version, bytes], None]
-"""Acts by the version with that body from now on."""
+"""Uses the version with this body from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class PreparedVersion:
-    """A version that is ready to be activated, with its body."""
+    """A version that can be activated, with its body."""
 
     version: Version
     body: bytes
@@ -66,8 +66,8 @@
     """Connects a `Node` with the network, the disk and the clock.
 
     Attributes:
-        node: The protocol.
-        results: The latest changes that were proposed here and have ended.
+        node: The consensus node.
+        results: Results of the latest changes that were proposed at this instance.
         on_outcome_report: Called with a member's number and its report.
     """
 
@@ -92,22 +92,22 @@
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._preparing: asyncio.Task[None] | None = None
-        self._prepared: PreparedVersion | None = None  # the latest one
+        self._prepared: PreparedVersion | None = None  # the latest prepared version
         self._stored_latest = node.lease_holder.latest
         self._recent_digests = dict.fromkeys(
             decided.version.digest for decided in store.history(MAX_DECIDED_BODIES)
         )
-        self._was_unrecognized = False
+        self._had_unrecognized_version = False
         self._closed = False
         self.results: list[ChangeResult] = []
         self.on_outcome_report: Callable[[int, OutcomeReport], None] | None = None
 
     async def bind(self) -> None:
-        """Binds the TCP port, and serves bodies there. Raises OSError if it cannot be bound."""
+        """Binds the TCP port and serves bodies on it. Raises OSError if it cannot be bound."""
         await self._bodies.start(self._listen)
 
     def start(self) -> None:
-        """Begins to receive and to send."""
+        """Starts to receive and send datagrams."""
         self._port.start(self._on_datagram)
         self._on_timer()
 
@@ -132,26 +132,26 @@
             self._port.send(self._signer.seal(encode(action.message)), address)
 
     def send_to_acceptors(self, message: Message) -> None:
-        """Sends a message that is not the protocol's own, such as a rollout's counts, to all acceptors."""
+        """Sends a message from outside the protocol, such as a rollout's counts, to all acceptors."""
         for acceptor_id in self.node.lease_holder.latest.version.acceptors:
             self._send(Send(acceptor_id.member, message))
 
     def _on_datagram(self, datagram: bytes, source: Address) -> float:
-        """Handles a datagram if it is authentic. Returns 0: the port goes on reading at once."""
+        """Handles a datagram if it is authentic. Returns 0.0, so that the port continues to read at once."""
         received = self._signer.open(datagram)
         if received is None:
             return 0.0
         try:
             message = decode(received.data)
         except MessageDecodeError as error:
-            log.debug("undecodable datagram from member %s: %s", received.sender, error)
+            log.debug("dropped a datagram from member %s that cannot be decoded: %s", received.sender, error)
             return 0.0
         if received.sender not in self._peers:
-            self._note_address(received.sender, source)
+            self._record_address(received.sender, source)
         self._handle(received.sender, message)
         return 0.0
 
-    def _note_address(self, member: int, address: Address) -> None:
+    def _record_address(self, member: int, address: Address) -> None:
         self._addresses.pop(member, None)
         self._addresses[member] = address
         if len(self._addresses) > MAX_ADDRESSES:
@@ -173,8 +173,8 @@
     async def _fetch_and_vote(self, sender: int, message: Accept) -> None:
         """Votes for a version only after its body is stored here.
 
-        If the author of a decided version died and nobody else had the body, all leases would run out. So a
-        majority has it before the version can be decided.
+        If the author of a decided version died and no other instance had the body, all leases would expire.
+        So a majority of the acceptors stores the body before the version can be decided.
         """
         body = await self._find_body(message.version)
         if body is None or self._closed:
@@ -212,7 +212,7 @@
             case Send():
                 self._send(action)
             case PrepareVersion(version):
-                # One at a time, the latest: an instance that missed many versions would fetch each body.
+                # Only the latest one: an instance that missed many versions would fetch the body of each.
                 if self._preparing is not None:
                     self._preparing.cancel()
                 self._preparing = self._spawn(self._prepare(version))
@@ -223,7 +223,7 @@
             case ActivateVersion(version):
                 self._activate_prepared(version)
             case ValidateVersion(to, request):
-                # A sender that asks without end would make every instance fetch without end.
+                # Bounded, as a sender of endless requests would make every instance fetch without end.
                 if len(self._tasks) < MAX_CONCURRENT_VALIDATIONS:
                     self._spawn(self._validate_for(to, request))
             case ChangeResult():
@@ -234,13 +234,13 @@
         try:
             self._store.save_state(state)
         except OSError as error:
-            log.warning("the acceptor's state can't be stored, and it does not vote: %s", error)
+            log.warning("cannot store the acceptor's state, so it does not vote: %s", error)
             self._reload_acceptor()
             return False
         return True
 
     def _reload_acceptor(self) -> None:
-        """Goes back to the state on the disk, as the one in memory was not stored."""
+        """Reloads the state from the disk, as the state in memory was not stored."""
         acceptor = self.node.acceptor
         if acceptor is None:
             return
@@ -251,7 +251,7 @@
             acceptor.state = state
 
     def _activate_prepared(self, version: Version) -> None:
-        # A lease is requested only on the latest version, once that is prepared.
+        # A version is always prepared by now: a lease on it is requested only after that.
         prepared = self._prepared
         assert prepared is not None
         assert prepared.version == version
@@ -260,17 +260,17 @@
 
     def _warn_if_unrecognized(self) -> None:
         lease_holder = self.node.lease_holder
-        if lease_holder.is_unrecognized == self._was_unrecognized:
+        if lease_holder.has_unrecognized_version == self._had_unrecognized_version:
             return
-        self._was_unrecognized = lease_holder.is_unrecognized
-        if self._was_unrecognized:
+        self._had_unrecognized_version = lease_holder.has_unrecognized_version
+        if self._had_unrecognized_version:
             known_number = max(lease_holder.lagging_acceptors.values())
             log.warning(UNRECOGNIZED_VERSION, lease_holder.latest.version.number, known_number)
 
     def _store_latest(self) -> None:
         latest = self.node.lease_holder.latest
-        # Compared with what was stored, not with what was known before the actions: the node has learned of
-        # the version by the time it returns them.
+        # Compared with the stored version, not with the one known before the actions: when the node returns
+        # the actions, it already knows the new version.
         if latest is self._stored_latest:
             return
         self._stored_latest = latest
@@ -282,7 +282,7 @@
             self._store.save_decided(latest)
             self._store.save_past(latest)
         except OSError as error:
-            log.warning("version %d can't be stored: %s", latest.version.number, error)
+            log.warning("cannot store version %d: %s", latest.version.number, error)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
@@ -293,7 +293,7 @@
     # Versions
 
     async def _prepare(self, version: Version) -> None:
-        """Fetches the body and validates it, until it is there or a later version is known."""
+        """Fetches a version's body, with retries until a later version is known, and validates it."""
         body: bytes | None = None
         while not self._closed:
             body = await self._find_body(version)
@@ -308,8 +308,8 @@
             return
         reason = self._validate(body, version, False)
         if reason:
-            log.warning("version %d can't be used here: %s", version.number, reason)
-        # An instance that missed several versions may prepare them at the same time, and they end in any
+            log.warning("version %d cannot be used at this instance: %s", version.number, reason)
+        # An instance that missed several versions may prepare them concurrently, and they may finish in any
         # order.
         if self._prepared is None or version.number >= self._prepared.version.number:
             self._prepared = PreparedVersion(version, body)
@@ -324,7 +324,7 @@
             self._execute(self.node.on_validated(to, request.change, reason))
 
     async def _find_body(self, version: Version) -> bytes | None:
-        """Returns the version's body, from here or from its author, its acceptors or any peer."""
+        """Returns the version's body from the store, the author, the acceptors or any peer, or None."""
         stored = self._store.body(version.digest)
         if stored is not None:
             return stored
@@ -339,14 +339,14 @@
         return None
 
     def _save_body(self, body: bytes) -> None:
-        """Stores a body beside those that are needed, which a merely proposed one must not replace."""
+        """Stores a body. A merely proposed one must not replace any that is still needed."""
         try:
             self._store.save_body(body, self._needed_digests())
         except OSError as error:
-            log.warning("a policy's body can't be stored: %s", error)
+            log.warning("cannot store a policy body: %s", error)
 
     def _needed_digests(self) -> set[str]:
-        """Returns the digests of the prepared version, the latest one, and those to roll back to."""
+        """Returns the digests of the prepared version, the latest version, and recent ones for rollbacks."""
         prepared = {self._prepared.version.digest} if self._prepared is not None else set()
         return {self.node.lease_holder.latest.version.digest, *prepared, *self._recent_digests}
 
@@ -362,19 +362,19 @@
         dry_run: bool = False,
         excluded: Collection[int] = (),
     ) -> None:
-        """Proposes a body as the next version, validated by all instances that hold a lease.
+        """Proposes a body as the next version, validated by all live instances.
 
         Args:
             content: The body.
-            change: A name by which its result is reported.
-            requester: Who wants it, for people.
-            reason: Why, for people.
-            acceptors: Those that vote on the version after it; None: the same as before.
-            dry_run: Only ask whether all could act by it.
-            excluded: Instances that are not asked: a faulty one would reject every change.
+            change: The change's name, under which its result is reported.
+            requester: Who asks for the change; for operators.
+            reason: Why; for operators.
+            acceptors: The acceptors that vote on the version after it; None to leave them unchanged.
+            dry_run: Only ask whether all instances could use it.
+            excluded: Instances that are not asked, as a faulty one could reject every change.
 
         Raises:
-            ConsensusError: It cannot be proposed here, or not now.
+            ConsensusError: The change cannot be proposed here or now.
             OSError: The body cannot be stored.
         """
         if self.node.acceptor is None or not self.node.acceptor.can_vote:
@@ -393,9 +393,9 @@
         self._execute(actions)
 
     def _live_validators(self, excluded: Collection[int]) -> tuple[int, ...]:
-        left_out = {self.node.member, *excluded}
-        return tuple(member for member in self.node.live_members(now_ms()) if member not in left_out)
+        not_asked = {self.node.member, *excluded}
+        return tuple(member for member in self.node.live_members(now_ms()) if member not in not_asked)
 
     def withdraw(self, change: str) -> None:
-        """Ends a change before the vote on it has begun. Raises ProposalError if that is too late."""
+        """Withdraws a change before a vote on it is requested. Raises ProposalError if it is too late."""
         self._execute(self.node.withdraw(change))
--- a/client_proxy/consensus/unsigned.py
+++ b/client_proxy/consensus/unsigned.py
@@ -1,4 +1,4 @@
-"""Signatures that sign nothing, for runs of the protocol in one process: models and simulations."""
+"""Signature stubs for running the protocol in one process: the model checker and the simulated cluster."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
 
 
 def accept_any_signature(acceptor_id: AcceptorId, content: bytes, signature: bytes) -> bool:
-    """Returns that the signature is valid."""
+    """Treats every signature as valid."""
     return True
--- a/tests/consensus/__init__.py
+++ b/tests/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of consensus."""
+"""Tests of the consensus package."""
--- a/tests/consensus/builders.py
+++ b/tests/consensus/builders.py
@@ -1,4 +1,4 @@
-"""Versions, proofs and parts of the protocol for the tests of one message at a time."""
+"""Builders of versions, proofs and protocol roles for tests that deliver single messages."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def make_decided(version: Version, *voters: int, ballot: Ballot = LOW_BALLOT) -> Decided:
-    """The version with votes of these members."""
+    """Returns the version as decided by votes of these members."""
     votes = (
         Vote(ACCEPTORS[member], sign(ACCEPTORS[member], vote_content(ballot, version, ACCEPTORS[member])))
         for member in voters
@@ -62,7 +62,7 @@
 
 
 def make_leased_holder(now_ms: float = 0.0) -> LeaseHolder:
-    """One that requested a lease on the first version at that time, and got it 60 ms later."""
+    """Returns a lease holder that requested a lease on version 1 at `now_ms` and got it 60 ms later."""
     holder = make_lease_holder()
     nonce = requested_nonce(holder.on_prepared(now_ms, 1))
     holder.handle(now_ms + 50, 0, LeaseGrant(1, nonce, ACCEPTORS[0]))
@@ -82,10 +82,10 @@
     )  # fmt: skip
 
 
-def sent(actions: Sequence[object]) -> list[object]:
-    """The messages among the actions."""
+def sent_messages(actions: Sequence[object]) -> list[object]:
+    """Returns the messages that the actions send."""
     return [action.message for action in actions if isinstance(action, Send)]
 
 
 def requested_nonce(actions: Sequence[object]) -> int:
-    return next(message.nonce for message in sent(actions) if isinstance(message, LeaseRequest))
+    return next(message.nonce for message in sent_messages(actions) if isinstance(message, LeaseRequest))
--- a/tests/consensus/conftest.py
+++ b/tests/consensus/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of consensus."""
+"""Fixtures for the consensus tests."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 @pytest.fixture
 def acceptor() -> Acceptor:
-    """That of member 0, which knows the first version."""
+    """The acceptor of member 0, which knows the first version."""
     return make_acceptor()
 
 
 @pytest.fixture
 def lease_holder() -> LeaseHolder:
-    """That of an instance without an acceptor, which knows the first version and has no lease."""
+    """The lease holder of an instance without an acceptor; it knows the first version and has no lease."""
     return make_lease_holder()
 
 
 @pytest.fixture
 def proposal() -> Proposal:
-    """One without validators."""
+    """A proposal without validators."""
     return make_proposal()
 
 
 @pytest.fixture
 def node() -> Node:
-    """That of member 0, which knows the first version."""
+    """The node of member 0, which knows the first version."""
     return make_node()
--- a/tests/consensus/test_acceptor.py
+++ b/tests/consensus/test_acceptor.py
@@ -1,4 +1,4 @@
-"""An acceptor, one message at a time."""
+"""Tests of an acceptor with single messages."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     make_acceptor,
     make_decided,
     make_version,
-    sent,
+    sent_messages,
     sign,
     verify,
 )
@@ -36,39 +36,41 @@
         persist, send = acceptor.handle(9, message)
         assert isinstance(persist, Persist)
         assert isinstance(send, Send)
-        # An acceptor that was restored from it is in the same state.
+        # An acceptor restored from the persisted state has the same state.
         assert Acceptor(persist.state, lambda _: b"", verify).state == acceptor.state
-    assert sent(acceptor.handle(9, LeaseRequest(1, 5, "one"))) == [LeaseDenied(1, 5)]
+    assert sent_messages(acceptor.handle(9, LeaseRequest(1, 5, "one"))) == [LeaseDenied(1, 5)]
 
 
-def test_a_promise_excludes_lower_ballots_and_reports_the_vote(acceptor: Acceptor) -> None:
+def test_a_promise_rejects_lower_ballots_and_reports_the_earlier_vote(acceptor: Acceptor) -> None:
     acceptor.handle(9, Accept(LOW_BALLOT, make_version()))
     promise = Promise(2, HIGH_BALLOT, ACCEPTORS[0], LOW_BALLOT, make_version())
-    assert sent(acceptor.handle(3, Prepare(2, HIGH_BALLOT))) == [promise]
+    assert sent_messages(acceptor.handle(3, Prepare(2, HIGH_BALLOT))) == [promise]
     nack = Nack(2, LOW_BALLOT, HIGH_BALLOT)
-    assert sent(acceptor.handle(9, Accept(LOW_BALLOT, make_version()))) == [nack]
-    assert sent(acceptor.handle(9, Prepare(2, LOW_BALLOT))) == [nack]
+    assert sent_messages(acceptor.handle(9, Accept(LOW_BALLOT, make_version()))) == [nack]
+    assert sent_messages(acceptor.handle(9, Prepare(2, LOW_BALLOT))) == [nack]
 
 
-def test_a_ballot_gets_a_vote_for_one_version_only(acceptor: Acceptor) -> None:
-    assert len(sent(acceptor.handle(9, Accept(LOW_BALLOT, make_version())))) == 1
+def test_an_acceptor_votes_for_one_version_per_ballot(acceptor: Acceptor) -> None:
+    assert len(sent_messages(acceptor.handle(9, Accept(LOW_BALLOT, make_version())))) == 1
     assert acceptor.handle(9, Accept(LOW_BALLOT, make_version(digest="other"))) == []
 
 
-def test_a_decided_version_needs_signatures_of_a_majority_of_the_acceptors_before_it() -> None:
+def test_a_decided_version_needs_signed_votes_of_a_majority_of_the_previous_acceptors() -> None:
     version = make_version()
     assert is_decided(make_decided(version, 0, 2), FIRST.version, verify)
     assert not is_decided(make_decided(version, 0), FIRST.version, verify)
     assert not is_decided(make_decided(version, 0, 0), FIRST.version, verify)
     assert not is_decided(make_decided(make_version(3), 0, 1), FIRST.version, verify)
     other = make_decided(make_version(digest="other"), 0, 1)
-    with_votes_for_another = Decided(version, other.ballot, other.votes)
-    assert not is_decided(with_votes_for_another, FIRST.version, verify)
-    in_another_ballot = Decided(version, HIGH_BALLOT, make_decided(version, 0, 1).votes)
-    assert not is_decided(in_another_ballot, FIRST.version, verify)
-    stranger = AcceptorId(5, 7)
-    stranger_vote = Vote(stranger, sign(stranger, vote_content(LOW_BALLOT, version, stranger)))
-    votes = (make_decided(version, 0).votes[0], stranger_vote)
+    votes_for_other_version = Decided(version, other.ballot, other.votes)
+    assert not is_decided(votes_for_other_version, FIRST.version, verify)
+    votes_of_other_ballot = Decided(version, HIGH_BALLOT, make_decided(version, 0, 1).votes)
+    assert not is_decided(votes_of_other_ballot, FIRST.version, verify)
+    unknown_acceptor = AcceptorId(5, 7)
+    unknown_vote = Vote(
+        unknown_acceptor, sign(unknown_acceptor, vote_content(LOW_BALLOT, version, unknown_acceptor))
+    )
+    votes = (make_decided(version, 0).votes[0], unknown_vote)
     assert not is_decided(Decided(version, LOW_BALLOT, votes), FIRST.version, verify)
 
 
@@ -86,14 +88,18 @@
     assert acceptor.handle(9, LeaseRequest(1, 5, "another")) == []
 
 
-def test_instances_that_are_behind_are_sent_the_latest_version_and_those_ahead_are_asked(
+def test_a_lagging_instance_is_sent_the_latest_version_and_one_ahead_is_asked_to_catch_up(
     acceptor: Acceptor,
 ) -> None:
     decided = make_decided(make_version(), 0, 1)
-    assert sent(acceptor.handle(9, LeaseRequest(2, 5, "two"))) == [CatchUp(1)]
+    assert sent_messages(acceptor.handle(9, LeaseRequest(2, 5, "two"))) == [CatchUp(1)]
     assert isinstance(acceptor.handle(9, decided)[0], Persist)
     assert acceptor.pending_version is None
     assert acceptor.decided.number == 2
     lagging_request, lagging_prepare = LeaseRequest(1, 5, "one"), Prepare(2, HIGH_BALLOT)
-    assert sent(acceptor.handle(9, lagging_request)) == [decided] == sent(acceptor.handle(9, lagging_prepare))
-    assert sent(acceptor.handle(9, LeaseRequest(2, 6, "two"))) == [LeaseGrant(2, 6, ACCEPTORS[0])]
+    assert (
+        sent_messages(acceptor.handle(9, lagging_request))
+        == [decided]
+        == sent_messages(acceptor.handle(9, lagging_prepare))
+    )
+    assert sent_messages(acceptor.handle(9, LeaseRequest(2, 6, "two"))) == [LeaseGrant(2, 6, ACCEPTORS[0])]
--- a/tests/consensus/test_messages.py
+++ b/tests/consensus/test_messages.py
@@ -1,4 +1,4 @@
-"""Encoding and decoding of messages."""
+"""Tests of the encoding and decoding of messages."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
-def test_a_message_is_decoded_as_it_was_and_not_from_a_part_of_it(message: Message) -> None:
+def test_a_decoded_message_equals_the_encoded_one_and_truncated_bytes_are_rejected(message: Message) -> None:
     data = encode(message)
     assert decode(data) == message
     assert len(data) < MAX_MESSAGE_BYTES
@@ -60,7 +60,7 @@
 @fixed_draws("noise_is_no_word_and_nothing_else_is_raised")
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.binary(max_size=200))
-def test_noise_raises_no_other_error(data: bytes) -> None:
+def test_random_bytes_raise_only_decode_errors(data: bytes) -> None:
     try:
         decode(data)
     except MessageDecodeError:
@@ -68,7 +68,7 @@
     assert msgspec.msgpack.decode(data)
 
 
-def test_values_beyond_their_bounds_are_not_decoded() -> None:
+def test_values_out_of_bounds_are_not_decoded() -> None:
     too_many = tuple(AcceptorId(member, 1) for member in range(8))
     long_digest = Version(2, "d" * 65, ACCEPTORS)
     for message in (
--- a/tests/consensus/test_model_search.py
+++ b/tests/consensus/test_model_search.py
@@ -1,4 +1,4 @@
-"""The model checker: no run violates an invariant, and each broken guard has a counterexample."""
+"""Tests with the model checker: no run violates an invariant, and each broken guard has a counterexample."""
 
 from __future__ import annotations
 
@@ -101,7 +101,8 @@
         return [Chosen(Decided(self.version, self.ballot, ()))]
 
 
-# The model, the invariant that is violated, and the first seed that shows it: the search begins there.
+# The model with the broken guard, the violated invariant, and the first seed with a counterexample, where
+# the search starts.
 BROKEN_GUARDS: dict[str, tuple[Model, str, int]] = {
     "promise": (replace(MANY_FAULTS, acceptor_type=ForgetsItsPromise), "one", 1),
     "earlier votes": (replace(MANY_FAULTS, proposal_type=IgnoresEarlierVotes), "one", 472),
@@ -138,8 +139,8 @@
     assert result.violation.startswith(invariant), result.violation
     run = shorten_run(model, result.run)
     assert len(run) <= MAX_SHORT_RUN, run
-    # The protocol as it is withstands the same run, as far as it can be followed there.
-    whole = replace(
+    # The intact protocol keeps the invariants in the same run; steps that are not possible in it are skipped.
+    intact = replace(
         model,
         acceptor_type=Acceptor,
         lease_holder_type=LeaseHolder,
@@ -148,14 +149,14 @@
         keeps_id_after_state_loss=False,
         withdraws_after_vote_request=False,
     )
-    state = State.start(whole)
+    state = State.start(intact)
     for step in run:
         if step in list(state.steps()):
             state = state.apply(step)
         assert not state.violation
 
 
-WHOLE_PROTOCOLS = [
+INTACT_MODELS = [
     replace(MANY_FAULTS, withdrawals=1),
     NO_FAULTS,
     replace(NO_FAULTS, replaces_acceptors=True, changes=2),
@@ -163,48 +164,50 @@
 ]
 
 
-@pytest.mark.parametrize("model", WHOLE_PROTOCOLS)
+@pytest.mark.parametrize("model", INTACT_MODELS)
 def test_no_random_schedule_violates_an_invariant(model: Model) -> None:
     assert search(model, range(1000, 1030)) is None
 
 
 def deliver_all_but(state: State, member: int) -> State:
-    """Delivers all messages in flight, in their order, but those from and to one member."""
-    while others := [flying for flying in state.in_flight if member not in (flying.to, flying.sender)]:
+    """Delivers all messages in flight in order, except those from or to one member."""
+    while others := [
+        delivery for delivery in state.in_flight if member not in (delivery.to, delivery.sender)
+    ]:
         state = state.apply(Step(StepKind.DELIVER, others[0]))
     return state
 
 
 @pytest.mark.parametrize("lease_holder_type", [LeaseHolder, ActivatesWithoutLease])
 def test_a_version_that_is_learned_late_is_not_activated(lease_holder_type: type[LeaseHolder]) -> None:
-    """Version 2 reaches an instance when the others have used version 3 for longer than a lease."""
+    """Version 2 reaches an instance after the others have used version 3 for longer than a lease."""
     state = State.start(replace(NO_FAULTS, changes=2, lease_holder_type=lease_holder_type))
-    late_member = state.model.acceptors  # the first follower
+    lagging_member = state.model.acceptors  # the first follower
     for _ in range(2):
-        state = deliver_all_but(state.apply(Step(StepKind.PROPOSE)), late_member)
+        state = deliver_all_but(state.apply(Step(StepKind.PROPOSE)), lagging_member)
         for member in state.lease_holders:
-            if member != late_member:
-                state = deliver_all_but(state.apply(Step(StepKind.RENEW, member)), late_member)
+            if member != lagging_member:
+                state = deliver_all_but(state.apply(Step(StepKind.RENEW, member)), lagging_member)
     assert 3 in state.first_active
     for _ in range(3):
         state = state.apply(Step(StepKind.TICK))
     decided: list[tuple[int, InFlight]] = [
-        (flying.message.version.number, flying)
-        for flying in state.in_flight
-        if flying.to == late_member and isinstance(flying.message, Decided)
+        (delivery.message.version.number, delivery)
+        for delivery in state.in_flight
+        if delivery.to == lagging_member and isinstance(delivery.message, Decided)
     ]
-    _, late = min(decided, key=lambda numbered: numbered[0])
-    state = state.apply(Step(StepKind.DELIVER, late))
+    _, late_delivery = min(decided, key=lambda numbered_delivery: numbered_delivery[0])
+    state = state.apply(Step(StepKind.DELIVER, late_delivery))
     assert bool(state.violation) == (lease_holder_type is ActivatesWithoutLease), state.violation
 
 
-def test_every_state_up_to_a_depth() -> None:
+def test_exhaustive_search_finds_no_violation() -> None:
     result = explore_exhaustively(replace(SMALL, followers=0), 5)
     assert not result.violation
     assert result.states > 500
 
 
-def test_reduction_by_symmetry_visits_fewer_states_and_finds_the_same() -> None:
+def test_symmetry_reduction_visits_fewer_states_and_finds_the_same_violation() -> None:
     reduced = explore_exhaustively(SMALL, 4)
     full = explore_exhaustively(SMALL, 4, reduce_symmetry=False)
     assert reduced.states < 0.7 * full.states
@@ -217,7 +220,7 @@
 
 
 def test_schedules_reach_the_new_version() -> None:
-    """A search in which nothing is ever decided or activated would find nothing."""
+    """Guards against a search that passes only because no schedule decides and activates a version."""
     reached = []
     for seed in range(12):
         random, state = Random(seed), State.start(NO_FAULTS)
@@ -235,17 +238,17 @@
 @fixed_draws("no_schedule_that_hypothesis_draws_breaks_it")
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.data())
-def test_no_schedule_that_hypothesis_draws_violates_an_invariant(data: st.DataObject) -> None:
-    """Drawn step by step, so that a violation would be shrunk."""
+def test_no_schedule_drawn_by_hypothesis_violates_an_invariant(data: st.DataObject) -> None:
+    """Steps are drawn one by one, so that Hypothesis can shrink a violating schedule."""
     replaces_acceptors = data.draw(st.booleans())
     model = replace(MANY_FAULTS, withdrawals=1, state_losses=1, replaces_acceptors=replaces_acceptors)
     state = State.start(model)
     for _ in range(data.draw(st.integers(20, 120))):
         steps = list(state.steps())
-        # Messages more often than anything else: a state has a few other steps and many of them.
+        # Deliveries are drawn more often than other steps, as in the random walk.
         deliveries = [step for step in steps if step.kind is StepKind.DELIVER]
-        delivers: int = data.draw(st.integers(0, 3))
-        choices = deliveries if deliveries and delivers else steps
+        delivery_choice: int = data.draw(st.integers(0, 3))
+        choices = deliveries if deliveries and delivery_choice else steps
         if not choices:
             break
         index: int = data.draw(st.integers(0, len(choices) - 1))
--- a/tests/consensus/test_proposer.py
+++ b/tests/consensus/test_proposer.py
@@ -1,4 +1,4 @@
-"""One ballot of a proposal, one message at a time."""
+"""Tests of one ballot of a proposal with single messages."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     make_decided,
     make_proposal,
     make_version,
-    sent,
+    sent_messages,
     verify,
 )
 
 
-def test_a_version_is_chosen_by_the_votes_of_a_majority(proposal: Proposal) -> None:
+def test_a_version_is_chosen_by_votes_of_a_majority(proposal: Proposal) -> None:
     assert len(proposal.start()) == 3
     assert proposal.handle(0, Promise(2, LOW_BALLOT, ACCEPTORS[0])) == []
     actions = proposal.handle(1, Promise(2, LOW_BALLOT, ACCEPTORS[1]))
     assert [action.to for action in actions if isinstance(action, Send)] == [0, 1, 2]
     vote = make_decided(make_version(), 0).votes[0]
-    assert proposal.handle(1, Accepted(2, LOW_BALLOT, vote)) == []  # the vote of 0, sent by 1
+    assert proposal.handle(1, Accepted(2, LOW_BALLOT, vote)) == []  # the vote of member 0, sent by member 1
     assert proposal.handle(0, Accepted(2, LOW_BALLOT, vote)) == []
     other_vote = make_decided(make_version(), 2).votes[0]
     (chosen,) = proposal.handle(2, Accepted(2, LOW_BALLOT, other_vote))
@@ -50,7 +50,7 @@
 
 def test_a_validator_that_cannot_use_the_version_ends_the_proposal() -> None:
     proposal = make_proposal(validators=(4, 5, 6))
-    assert set(sent(proposal.start())) == {ValidationRequest("change", make_version())}
+    assert set(sent_messages(proposal.start())) == {ValidationRequest("change", make_version())}
     assert proposal.handle(4, ValidationReply("change")) == []
     assert proposal.unanswered == (5, 6)
     assert proposal.handle(7, ValidationReply("change", "not asked")) == []
@@ -60,7 +60,7 @@
     assert proposal.prepare() == [] == proposal.handle(0, Promise(2, LOW_BALLOT, ACCEPTORS[0]))
 
 
-def test_validators_that_do_not_answer_are_named_and_passed_over() -> None:
+def test_the_vote_starts_without_validators_that_do_not_answer() -> None:
     proposal = make_proposal(validators=(4, 5))
     proposal.start()
     proposal.handle(4, ValidationReply("change"))
@@ -68,7 +68,7 @@
     assert proposal.unanswered == (5,)
 
 
-def test_a_preempted_proposal_tells_the_higher_ballot(proposal: Proposal) -> None:
+def test_a_preempted_proposal_records_the_higher_ballot(proposal: Proposal) -> None:
     proposal.start()
     proposal.handle(0, Nack(2, LOW_BALLOT, HIGH_BALLOT))
     assert proposal.phase is Phase.PREEMPTED
--- a/tests/consensus/test_store.py
+++ b/tests/consensus/test_store.py
@@ -1,4 +1,4 @@
-"""Stored state: torn files, and bodies that must stay."""
+"""Tests of stored state: torn files, and bodies that must be kept."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from client_proxy.consensus.store import ACCEPTOR_FILE, Store
 
 
-def test_a_torn_state_counts_as_lost(tmp_path: Path) -> None:
+def test_a_torn_state_file_counts_as_lost(tmp_path: Path) -> None:
     store = Store(Folder(tmp_path))
     genesis = Decided(Version(1, "d", (AcceptorId(1, 1),)), Ballot(), ())
     store.save_state(AcceptorState(AcceptorId(1, 1), genesis))
     assert store.load_state() == AcceptorState(AcceptorId(1, 1), genesis)
-    whole = (tmp_path / ACCEPTOR_FILE).read_bytes()
-    for length in range(len(whole)):
-        (tmp_path / ACCEPTOR_FILE).write_bytes(whole[:length])
+    complete = (tmp_path / ACCEPTOR_FILE).read_bytes()
+    for length in range(len(complete)):
+        (tmp_path / ACCEPTOR_FILE).write_bytes(complete[:length])
         assert store.load_state() is None
 
 
-def test_needed_bodies_stay_and_the_others_are_bounded(tmp_path: Path) -> None:
+def test_needed_bodies_are_kept_and_the_number_of_others_is_bounded(tmp_path: Path) -> None:
     store = Store(Folder(tmp_path))
     needed = (digest_of(b"needed"),)
     for number in range(60):
--- a/tests/consensus/test_transport.py
+++ b/tests/consensus/test_transport.py
@@ -1,4 +1,4 @@
-"""Transports on loopback: bodies by digest, messages by signature, versions that are ready in any order."""
+"""Tests of transports on loopback: body transfer, signatures, and the order of preparations."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 ACCEPTORS = (AcceptorId(1, 1),)
 
 
-def test_a_change_reaches_all_with_its_body_and_one_that_cannot_use_it_ends_it(tmp_path: Path) -> None:
+def test_a_change_and_its_body_reach_all_instances_and_a_rejection_ends_a_change(tmp_path: Path) -> None:
     async def test(fleet: dict[int, Instance]) -> None:
         author, follower, other_author = fleet[1], fleet[4], fleet[2]
         await wait_until(lambda: len(author.transport.node.lease_requesters) >= 3)
         author.transport.propose(b"second", "two")
         await wait_until(lambda: all(instance.activated[-1] == (2, b"second") for instance in fleet.values()))
         assert [result.outcome for result in author.transport.results] == ["decided"]
-        # An instance without an acceptor stores it, too: it begins with it even if nobody can be reached.
+        # An instance without an acceptor stores it as well, to start from it even if no other is reachable.
         stored = follower.store.decided()
         assert stored is not None
         assert stored.version.number == 2
@@ -50,7 +50,7 @@
     run_with_fleet(tmp_path, test)
 
 
-def test_of_versions_that_are_prepared_out_of_order_the_newest_stays_ready(tmp_path: Path) -> None:
+def test_the_latest_version_stays_prepared_if_older_ones_are_prepared_after_it(tmp_path: Path) -> None:
     async def run() -> None:
         instance = make_instance(tmp_path, 4, {}, ("127.0.0.1", 0))
         versions = {
@@ -66,10 +66,10 @@
     asyncio.run(run())
 
 
-def test_a_change_outlives_its_author_that_dies_when_it_is_decided(tmp_path: Path) -> None:
+def test_a_change_takes_effect_if_its_author_dies_when_it_is_decided(tmp_path: Path) -> None:
     async def test(fleet: dict[int, Instance]) -> None:
         author = fleet[1]
-        # Without validators: nobody else has seen the body before the vote.
+        # Without validators no other instance has the body before the vote.
         digest = author.store.save_body(b"second")
         execute = author.transport._execute
 
@@ -87,7 +87,7 @@
     run_with_fleet(tmp_path, test)
 
 
-def test_of_a_thousand_requests_at_once_few_are_validated_and_nothing_is_stored(tmp_path: Path) -> None:
+def test_concurrent_validation_requests_are_bounded_and_store_nothing(tmp_path: Path) -> None:
     async def test(fleet: dict[int, Instance]) -> None:
         victim = fleet[1]
         transport = victim.transport
@@ -103,7 +103,7 @@
     run_with_fleet(tmp_path, test)
 
 
-def test_a_datagram_in_the_name_of_an_acceptor_without_its_signature_is_dropped(tmp_path: Path) -> None:
+def test_a_datagram_from_an_acceptor_without_its_signature_is_dropped(tmp_path: Path) -> None:
     async def test(fleet: dict[int, Instance]) -> None:
         forger, victim = fleet[4].transport, fleet[1].transport
         senders: list[int] = []
@@ -118,13 +118,13 @@
     run_with_fleet(tmp_path, test)
 
 
-def test_a_tcp_port_that_is_taken_is_an_error_of_the_start(tmp_path: Path) -> None:
-    # It was bound in a task that nobody awaited: the instance served, and gave nobody a body.
+def test_bind_raises_if_the_tcp_port_is_in_use(tmp_path: Path) -> None:
+    # If the port were bound in a task that nobody awaits, the instance would serve requests but no bodies.
     async def run() -> None:
-        with socket.socket() as taken:
-            taken.bind(("127.0.0.1", 0))
-            taken.listen()
-            instance = make_instance(tmp_path, 4, {}, ("127.0.0.1", taken.getsockname()[1]))
+        with socket.socket() as bound_socket:
+            bound_socket.bind(("127.0.0.1", 0))
+            bound_socket.listen()
+            instance = make_instance(tmp_path, 4, {}, ("127.0.0.1", bound_socket.getsockname()[1]))
             try:
                 with pytest.raises(OSError, match="in use"):
                     await instance.transport.bind()
@@ -134,26 +134,26 @@
     asyncio.run(run())
 
 
-def test_an_instance_that_cannot_bind_its_port_accepts_nobody() -> None:
+def test_an_instance_that_cannot_bind_its_port_accepts_no_connections() -> None:
     accepted: list[str] = []
 
-    class Unbound:
+    class UnboundSource:
         async def bind(self) -> None:
             raise OSError("address in use")
 
-    class Accepting:
+    class AcceptingDaemon:
         async def start(self) -> int:
             accepted.append("anybody")
             return 1
 
-    instance = SimpleNamespace(agreed=Unbound(), daemon=Accepting(), control=None, _saver=None)
+    instance = SimpleNamespace(agreed=UnboundSource(), daemon=AcceptingDaemon(), control=None, _saver=None)
     with pytest.raises(OSError, match="in use"):
         asyncio.run(ServingInstance.start(instance))  # type: ignore[arg-type]
     assert accepted == []
 
 
-@pytest.mark.parametrize("stated", ["п" * 60, "release-" + "ж" * 30, "a" * 80])
-def test_a_change_has_one_name_for_its_author_and_for_the_node(stated: str) -> None:
-    name = change_name(stated)
-    assert name == truncate_utf8(stated, MAX_CHANGE_BYTES)
+@pytest.mark.parametrize("requested_name", ["п" * 60, "release-" + "ж" * 30, "a" * 80])
+def test_a_change_name_is_truncated_as_the_node_truncates_it(requested_name: str) -> None:
+    name = change_name(requested_name)
+    assert name == truncate_utf8(requested_name, MAX_CHANGE_BYTES)
     assert len(name.encode()) <= MAX_CHANGE_BYTES
--- a/tests/consensus/transports.py
+++ b/tests/consensus/transports.py
@@ -1,4 +1,4 @@
-"""Real transports on loopback: datagrams, bodies and folders are real, policies are any bytes."""
+"""Real transports on loopback, with real datagrams, body transfers and folders; policies are any bytes."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 FIRST_BODY = b"first"
 KEY_SEED = 5
 PORT = 7947
-LIMIT_S = 30
+WAIT_TIMEOUT_S = 30
 
 
 @dataclass
 class Instance:
-    """A transport, its store, and the versions that it activated, by number and body."""
+    """A transport, its store, and the number and body of each version that it activated."""
 
     transport: ConsensusTransport
     store: Store
@@ -36,7 +36,7 @@
 
 
 def make_instance(folder: Path, member: int, peers: dict[int, Peer], listen: Address) -> Instance:
-    """One that can use any body without `bad` in it."""
+    """Returns an instance that accepts any body that does not contain `bad`."""
     keys = derive_keyring(KEY_SEED, member, "h")
     acceptors = tuple(AcceptorId(peer, 1) for peer in sorted(peers)) or (AcceptorId(1, 1),)
     genesis = Decided(Version(1, digest_of(FIRST_BODY), acceptors), Ballot(), ())
@@ -55,18 +55,18 @@
     return Instance(transport, store, activated)
 
 
-async def wait_until(holds: Callable[[], bool]) -> None:
-    """Waits for a condition, with a limit that never decides a verdict."""
-    async with asyncio.timeout(LIMIT_S):
-        while not holds():  # noqa: ASYNC110 - state of several instances, which has no event to wait for
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Waits for a condition. The timeout only stops a test that hangs."""
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
+        while not condition():  # noqa: ASYNC110 - state of several instances, which has no event to wait for
             await asyncio.sleep(0.005)
 
 
 def run_with_fleet(folder: Path, test: Callable[[dict[int, Instance]], Awaitable[None]]) -> None:
-    """Runs a test with instances 1 to 3, which have an acceptor, and 4 without one."""
+    """Runs a test with instances 1 to 3, which have an acceptor, and instance 4 without one."""
 
     async def run() -> None:
-        # The acceptors' addresses are known to all before any starts: they are this process's own.
+        # All instances need the acceptors' addresses at the start; `address_part` is unique per process.
         addresses = {member: (f"{address_part()}.{100 + member}", PORT) for member in (1, 2, 3)}
         peers = {
             member: Peer(member, address, derive_keyring(KEY_SEED, member, "h").signer.public_key)
