--- a/client_proxy/consensus/proposer.py
+++ b/client_proxy/consensus/proposer.py
@@ -40,12 +40,8 @@
     ACCEPT = "accept"
     VALIDATED = "validated"  # A dry run has ended without a rejection.
     DECIDED = "decided"
-    REJECTED = (
-        "rejected"  # By a validator, before any acceptor was contacted; or there was nothing to complete.
-    )
-    PREEMPTED = (
-        "preempted"  # By a higher ballot; the proposal has to be repeated with one above `preempted_by`.
-    )
+    REJECTED = "rejected"  # By a validator, before any vote was requested; or there was no vote to complete.
+    PREEMPTED = "preempted"  # By a higher ballot: the proposal is repeated with one above `preempted_by`.
 
 
 @dataclass(frozen=True, slots=True)
--- a/client_proxy/consensus/transport.py
+++ b/client_proxy/consensus/transport.py
@@ -137,7 +137,7 @@
             self._send(Send(acceptor_id.member, message))
 
     def _on_datagram(self, datagram: bytes, source: Address) -> float:
-        """Handles a datagram if it is authentic. Returns 0.0, so that the port continues to read at once."""
+        """Handles a datagram if it is authentic. Returns 0, so that the port continues to read at once."""
         received = self._signer.open(datagram)
         if received is None:
             return 0.0
--- a/tests/consensus/test_acceptor.py
+++ b/tests/consensus/test_acceptor.py
@@ -88,7 +88,7 @@
     assert acceptor.handle(9, LeaseRequest(1, 5, "another")) == []
 
 
-def test_a_lagging_instance_is_sent_the_latest_version_and_one_ahead_is_asked_to_catch_up(
+def test_a_lagging_instance_is_sent_the_latest_version_and_one_ahead_is_asked_for_it(
     acceptor: Acceptor,
 ) -> None:
     decided = make_decided(make_version(), 0, 1)
