--- a/client_proxy/balancer/endpoint_selection.py
+++ b/client_proxy/balancer/endpoint_selection.py
@@ -57,7 +57,7 @@
         return min(permitted, key=lambda e: (e.suspended(now_ms), e.in_flight), default=None)
 
     def _candidates(self, request: Request, pool: Pool) -> list[Endpoint]:
-        candidates = self._draw(request, pool) if pool.size > MAX_SCANNED_POOL else []
+        candidates = self._draw(request, pool) if pool.subset_size > MAX_SCANNED_POOL else []
         if len(candidates) < 2:
             candidates = self._allowed(request, pool.endpoints_in_use(self._state.now_ms))
         if not candidates and request.attempts:
@@ -85,7 +85,7 @@
             return self._draw_connected(request, pool, found)
         tried = len(found)
         for _ in range(MAX_DRAWS):
-            endpoint = pool.ring[self._random.randrange(pool.size)]
+            endpoint = pool.ring[self._random.randrange(pool.subset_size)]
             if len(found) < tried + 2 and endpoint not in found and self._allowed(request, [endpoint]):
                 found.append(endpoint)
         return found[tried:]
@@ -95,7 +95,7 @@
         now_ms = self._state.now_ms
         return self._connected.draw(
             self._random,
-            lambda: pool.ring[self._random.randrange(pool.size)],
+            lambda: pool.ring[self._random.randrange(pool.subset_size)],
             lambda e: (
                 self._endpoint_set.pool_of(e) is pool
                 and self._idle_connections.idle_for(e, now_ms) is not None
--- a/client_proxy/balancer/endpoint_set.py
+++ b/client_proxy/balancer/endpoint_set.py
@@ -74,7 +74,7 @@
 
     def used_endpoint_count(self) -> int:
         """How many endpoints this proxy uses, of all pools that it picks from."""
-        return sum(pool.size for pool in self.zone_pools.values() or (self.local, self.remote))
+        return sum(pool.subset_size for pool in self.zone_pools.values() or (self.local, self.remote))
 
     def _remove(self, name: str) -> None:
         """Forget an endpoint; a request that waits for its load probe must see that it is gone."""
--- a/client_proxy/balancer/pool.py
+++ b/client_proxy/balancer/pool.py
@@ -39,7 +39,7 @@
         self._ring_start = settings.ordinal * GOLDEN_RATIO_CONJUGATE % 1
         self._safety = settings.safety
         self.ring: list[Endpoint] = []  # from this proxy's position on
-        self.size = 0  # how many of them it uses
+        self.subset_size = 0  # how many of them it uses
         self._mean_weight = 1.0
         self.admission_gate = AdmissionGate()
         self.work_rate = WorkRate(RATE_WINDOWS * settings.safety.slow_start_limit_window_ms)
@@ -56,11 +56,11 @@
         self.ring = ring[start:] + ring[:start]
         self._mean_weight = sum(e.listed.weight for e in ring) / max(1, len(ring))
         subset = ceil(MIN_PROXIES_PER_ENDPOINT * len(ring) / self._proxies)
-        self.size = min(len(ring), max(MIN_SUBSET_SIZE, subset))
+        self.subset_size = min(len(ring), max(MIN_SUBSET_SIZE, subset))
 
     def proxies_per_endpoint(self) -> float:
         """How many proxies use one of its endpoints, about."""
-        return max(1.0, self._proxies * self.size / max(1, len(self.ring)))
+        return max(1.0, self._proxies * self.subset_size / max(1, len(self.ring)))
 
     def uses_admission_gate(self) -> bool:
         """Whether the gate moves: only where many share an endpoint; few avoid congestion by their limits."""
@@ -83,7 +83,7 @@
             if not endpoint.suspended(now_ms) and endpoint.listed.name not in self._ejected:
                 used.append(endpoint)
                 warm += endpoint.warmed_up_share(now_ms, self._safety) >= 1
-                if warm == self.size:
+                if warm == self.subset_size:
                     break
         return used
 
@@ -98,7 +98,7 @@
         keep to theirs in the same way. With no warm one an endpoint is taken for a single core.
         """
         if self.has_warm_endpoint(now_ms):
-            part = self.work_rate.per_ms(now_ms) / max(1, self.size)
+            part = self.work_rate.per_ms(now_ms) / max(1, self.subset_size)
             if endpoint.saturation <= 1:
                 relative = min(1.0, endpoint.listed.weight / self._mean_weight) if self._mean_weight else 1.0
                 part *= SLOW_START_RELIEF * relative
--- a/tests/outlier/test_ejection_hook.py
+++ b/tests/outlier/test_ejection_hook.py
@@ -122,7 +122,7 @@
     driver = make_driver_with_hook(FixedEjections("a"), 120)
     pool = driver.balancer.endpoint_set.local
     in_use = pool.endpoints_in_use(driver.now_ms)
-    assert len(in_use) == pool.size
+    assert len(in_use) == pool.subset_size
     assert not any(used.listed.zone == "a" for used in in_use)
 
 
