--- a/client_proxy/__init__.py
+++ b/client_proxy/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a client-side load balancer, as a library without I/O."""
+"""A client-side load balancer: a decision library without I/O, and the client proxy that uses it."""
 
 from __future__ import annotations
 
@@ -12,10 +12,13 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import `Balancer` when it is first asked for.
+    """Import `Balancer` on first access.
 
-    A program of this package handles its signals from its first line on, and imports the rest after that.
-    Raises AttributeError for any other name.
+    The programs of this package install their signal handlers first and import everything else afterwards, so
+    importing the package itself must not load the balancer.
+
+    Raises:
+        AttributeError: for any other name.
     """
     if name != "Balancer":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/client_proxy/api/__init__.py
+++ b/client_proxy/api/__init__.py
@@ -1,1 +1,1 @@
-"""What a client proxy and its balancer say to each other, and the hook through which policies take part."""
+"""The balancer's interface: events from the client proxy, actions for it, settings, policy hook."""
--- a/client_proxy/api/actions.py
+++ b/client_proxy/api/actions.py
@@ -1,6 +1,6 @@
-"""What a balancer asks its client proxy to do.
+"""The actions that a balancer asks its client proxy to carry out.
 
-Spans are in milliseconds and end in ``_ms``.
+Durations are in milliseconds; their names end in ``_ms``.
 """
 
 from __future__ import annotations
@@ -10,32 +10,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start the next attempt of a request; attempts count from 0 in the order of their sends."""
+    """Start the next attempt of a request; its attempts are numbered from 0 in the order of their sends."""
 
     request_id: int
     endpoint: str
-    timeout_ms: float
-    write_by_ms: float = float("inf")  # a repeat whose first byte is not written by then is not to be sent
+    timeout_ms: float  # from the send; the proxy ends the attempt as TIMEOUT after it
+    # Time by which the first byte of a retry must be written; later the proxy must not send it, since
+    # endpoints may no longer deduplicate it.
+    write_by_ms: float = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: rejected, and harmless to try again."""
+    """Final answer to the client: rejected, so a retry by the client is safe."""
 
     request_id: int
-    retry_after_ms: float = 0.0
+    retry_after_ms: float = 0.0  # how long the client should wait before a retry; 0: not stated
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; whether it ran is not said."""
+    """Final answer to the client: failed; the request may have been executed or not."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Abandon an attempt that is under way."""
+    """Cancel an attempt that is in flight."""
 
     request_id: int
     attempt: int
@@ -43,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Report `TimerFired` with this token after the delay."""
+    """Start a timer: report `TimerFired` with this token after the delay."""
 
     delay_ms: float
     token: int
@@ -65,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for the changes missed, and for all that follow."""
+    """Subscribe to discovery: request the changes missed so far and all later ones."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/client_proxy/api/events.py
+++ b/client_proxy/api/events.py
@@ -1,7 +1,8 @@
-"""What a client proxy reports to its balancer.
+"""The events that a client proxy reports to its balancer.
 
-Times are milliseconds on one monotonic clock of the proxy's choosing; spans end in ``_ms`` too. Ids
-(requests, endpoints, zones, cells) are opaque: they are compared and given back, never read.
+Times are milliseconds on one monotonic clock chosen by the proxy, durations are in milliseconds too; the
+names of both end in ``_ms``. Ids (of requests, endpoints, zones and cells) are opaque: they are compared and
+returned, never interpreted.
 """
 
 from __future__ import annotations
@@ -11,21 +12,21 @@
 
 
 class Outcome(Enum):
-    """How an attempt, or a probe, ended."""
+    """The result of an attempt or a load probe."""
 
     OK = "ok"
-    ERROR = "error"  # answered with an error; may have run
-    REJECTED = "rejected"  # turned away unseen
-    TIMEOUT = "timeout"  # may have run, may still run
-    CONNECT_FAILED = "connect_failed"
-    RESET = "reset"  # connection lost under way; may have run
-    CANCELLED = "cancelled"  # called off by us; may have run
-    NOT_SENT = "not_sent"  # the proxy did not send it
-    UNUSABLE = "unusable"  # answered with a fault of the request itself
+    ERROR = "error"  # answered with an error; may have been executed
+    REJECTED = "rejected"  # rejected by the endpoint before execution
+    TIMEOUT = "timeout"  # no answer in time; may have been executed, or still be executing
+    CONNECT_FAILED = "connect_failed"  # no connection could be opened; not executed
+    RESET = "reset"  # connection lost while in flight; may have been executed
+    CANCELLED = "cancelled"  # cancelled by this proxy; may have been executed
+    NOT_SENT = "not_sent"  # the proxy did not send it after all
+    UNUSABLE = "unusable"  # answered that the request itself is invalid; a retry is pointless
 
 
 class EndpointState(Enum):
-    """What discovery says of an endpoint."""
+    """The state of an endpoint according to discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -33,29 +34,29 @@
 
 
 class ListKind(Enum):
-    """What an `EndpointsListed` event carries."""
+    """The kind of list in an `EndpointsListed` event."""
 
-    DELTA = "delta"  # changed endpoints only
-    FULL = "full"  # the whole list; what is not in it is gone
-    RESTORED = "restored"  # the whole list as last known before a restart, perhaps old
-    FAILED = "failed"  # a call to discovery failed or the subscription broke; nothing listed
+    DELTA = "delta"  # only the endpoints that have changed
+    FULL = "full"  # the complete list; endpoints not in it are gone
+    RESTORED = "restored"  # the complete list as known before a restart; may be outdated
+    FAILED = "failed"  # a call to discovery failed or the subscription broke; lists no endpoints
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One entry of discovery's list."""
+    """One endpoint as listed by discovery."""
 
     name: str
     zone: str = ""
-    cell: int = 0
-    weight: float = 1.0
+    cell: int = 0  # id of its cell, a group of endpoints within a zone
+    weight: float = 1.0  # capacity relative to other endpoints
     state: EndpointState = EndpointState.READY
-    started_ms: float | None = None  # None: a long time ago
+    started_ms: float | None = None  # start of its process; None: so long ago that it is warm
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointsListed:
-    """Discovery sent its list, or changes of it, or failed."""
+    """Discovery sent the endpoint list or changes of it, or failed."""
 
     kind: ListKind
     endpoints: tuple[ListedEndpoint, ...] = ()
@@ -67,17 +68,17 @@
 
     request_id: int
     class_name: str
-    deadline_ms: float | None = None  # on the clock, not a span; None: the class's own
+    deadline_ms: float | None = None  # a point in time; None: set from the class
     tenant: str | None = None
     key: str | None = None
-    work_hint_ms: float | None = None
-    client_retry: bool = False  # marked by its client as a repeat
-    first_request_ms: float | None = None  # when its client asked first, if that is known; None: now
+    work_hint_ms: float | None = None  # expected work; None or 0: the class's usual latency
+    client_retry: bool = False  # its client marked it as a retry
+    first_request_ms: float | None = None  # when its client first sent it; None: unknown, taken as now
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The answer has begun; from here the attempt is the client's."""
+    """A streamed answer has begun and goes to the client; the request is not retried any more."""
 
     request_id: int
     attempt: int
@@ -86,33 +87,33 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has its outcome."""
+    """An attempt has ended."""
 
     request_id: int
     attempt: int
     outcome: Outcome
     latency_ms: float
-    answered: bool = False  # nothing more is owed to the client
-    report: tuple[float, ...] | None = None
+    answered: bool = False  # the client has its answer, so nothing more is owed to it
+    report: tuple[float, ...] | None = None  # load report, in the order of `Settings.report_fields`
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left; nothing more is owed."""
+    """The client disconnected, so nothing more is owed to it."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that `SetTimer` asked for is due."""
+    """A timer started by `SetTimer` has fired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """A load probe has its outcome."""
+    """A load probe has ended."""
 
     endpoint: str
     outcome: Outcome
--- a/client_proxy/api/settings.py
+++ b/client_proxy/api/settings.py
@@ -1,7 +1,7 @@
-"""The settings of a balancer: request classes, limits, rules and the weights of the objective.
+"""The settings of a balancer: request classes, limits, safety rules, prices and weights of the objective.
 
-Spans are in milliseconds and end in ``_ms``. Ids (endpoints, zones, cells) are opaque: they are compared and
-given back, never read.
+Durations are in milliseconds; their names end in ``_ms``. Ids (of endpoints, zones and cells) are opaque:
+they are compared and returned, never interpreted.
 """
 
 from __future__ import annotations
@@ -11,130 +11,131 @@
 
 
 def require(condition: bool, text: str) -> None:
-    """Raises ValueError with the text unless the condition holds."""
+    """Raise ValueError with the text unless the condition holds."""
 
     if not condition:
         raise ValueError(text)
 
 
 class Idempotency(Enum):
-    """Whether a request that may have run can be sent again."""
+    """Whether a request that may have been executed can be retried."""
 
     IDEMPOTENT = "safe"  # always
-    IDEMPOTENCY_KEY = "keyed"  # within the scope and the window in which endpoints drop its repeats
+    IDEMPOTENCY_KEY = "keyed"  # within the scope and time window in which endpoints deduplicate it
     NOT_IDEMPOTENT = "unsafe"  # never
 
 
 class IdempotencyScope(Enum):
-    """Which endpoints drop the repeats of a request with an idempotency key."""
+    """Which endpoints deduplicate the retries of a request with an idempotency key."""
 
-    ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
+    ALL = "all"  # all endpoints together
+    ZONE = "zone"  # the endpoints of the zone where it was first executed
+    CELL = "cell"  # the endpoints of the cell where it was first executed
 
 
 class Reports(Enum):
-    """Where load reports come from."""
+    """Which results carry load reports."""
 
-    INLINE = "inline"  # with outcomes and probe results
-    ON_PROBE = "on_probe"  # with probe results only
-    OFF = "off"
+    INLINE = "inline"  # results of attempts and load probes
+    ON_PROBE = "on_probe"  # results of load probes only
+    OFF = "off"  # none
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: its latency objective, its deadline, its weight and how it may be repeated."""
+    """A class of requests: latency objective, deadline, priority weight and rules for retries."""
 
     name: str
-    latency_objective_ms: float  # an answer within this earns the full weight
-    deadline_ms: float
-    priority_weight: float = 1.0
-    late_weight_share: float = 0.0  # share of the weight earned between objective and deadline
-    latency_objective_stretch: float = 0.0  # more time on the objective, as a multiple of the request's work
+    latency_objective_ms: float  # ms; an answer within this time earns the full weight
+    deadline_ms: float  # ms; from the client's request; later an answer is useless
+    priority_weight: float = 1.0  # of a served request in the objective
+    late_weight_share: float = 0.0  # share of the weight that an answer between objective and deadline earns
+    latency_objective_stretch: float = 0.0  # extends the objective, by this multiple of the request's work
     idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
     idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
-    idempotency_window_ms: float = 0.0
-    streamed: bool = False
-    in_order: bool = False  # requests with one key go out one at a time, as they arrived
+    idempotency_window_ms: float = 0.0  # ms from the first send in which endpoints deduplicate retries
+    streamed: bool = False  # whether answers are streamed
+    in_order: bool = False  # requests with the same key are sent one at a time, in the order of arrival
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the site allows a client proxy: attempts, connections, probes and processor time."""
-
-    max_attempts: int = 3
-    parallel_attempts: bool = False
-    cancel: bool = False
-    probes: bool = False
-    retry_after: bool = False
-    max_retry_after_ms: float = 0.0
-    connect_timeout_ms: float = 250.0
-    connection_idle_timeout_ms: float | None = None  # an idle connection closes after this; None: not told
-    streams_per_connection: int = 1  # attempts that share a connection
-    max_pending_requests: int | None = None  # requests that the proxy holds at most
-    cpu_us_per_s: float | None = None  # what the decisions may take in a second; None: not told
-    cpu_us_per_request: float | None = None  # and for a request, in the mean
-    connections: int | None = None  # to servers, that the proxy may hold open; None: not told
+    """What the environment allows a client proxy: attempts, connections, probes and CPU time."""
+
+    max_attempts: int = 3  # attempts per request, the first included
+    parallel_attempts: bool = False  # whether a request may have several attempts in flight
+    cancel: bool = False  # whether attempts may be cancelled
+    probes: bool = False  # whether load probes may be sent
+    retry_after: bool = False  # whether a rejection may state a retry-after time
+    max_retry_after_ms: float = 0.0  # ms; longest retry-after time
+    connect_timeout_ms: float = 250.0  # ms
+    connection_idle_timeout_ms: float | None = None  # ms; idle connections are closed after it; None: unknown
+    streams_per_connection: int = 1  # attempts that may share a connection at a time
+    max_pending_requests: int | None = None  # most requests that the proxy may hold; None: not stated
+    cpu_us_per_s: float | None = None  # CPU time for decisions, µs per second; None: not stated
+    cpu_us_per_request: float | None = None  # the same per request, on average; None: not stated
+    connections: int | None = None  # most open connections to servers; None: not stated
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptLimit:
-    """In any window this proxy's attempts beyond each request's first number at most
-    ``free`` plus ``share`` of the requests that it took in the window."""
+    """Limits attempts beyond each request's first, in any window, to `free` plus `share` of its requests."""
 
-    window_ms: float
-    share: float
-    free: float = 0.0
+    window_ms: float  # ms; length of the sliding window
+    share: float  # extra attempts allowed per request that arrived in the window
+    free: float = 0.0  # extra attempts allowed in the window without any request
 
 
 @dataclass(frozen=True, slots=True)
 class Safety:
-    """The figures of the rules on answers, drains, discovery, cold endpoints, order and attempts."""
+    """The parameters of the rules on answers, draining, discovery, slow start, order by key and attempts."""
 
-    slow_start_share: float = 1.0  # an endpoint starts with at least this share of its capacity
-    slow_start_ms: float = 0.0  # and is warm at the latest after this
-    slow_start_limit_multiple: float = 3.0  # sent more than this multiple of its capacity
-    slow_start_limit_window_ms: float = 1000.0  # for this long, a cold endpoint falls over
-    max_poll_interval_ms: float = 10_000.0  # unsubscribed proxies must ask discovery this often
-    answer_grace_ms: float = 0.0  # a final answer this long after the deadline still counts
-    drain_grace_ms: float = 0.0  # sends to an endpoint told to drain must end within this
-    key_quiet_ms: float = 0.0  # an in-order key rests this long after an attempt that may still run
-    attempts: AttemptLimit | None = None  # None: no such limit
+    slow_start_share: float = 1.0  # share of its capacity that an endpoint has at least when it starts
+    slow_start_ms: float = 0.0  # ms; after it an endpoint is warm: it has its full capacity
+    # An endpoint in slow start fails if it is sent more than this multiple of its present capacity during the
+    # window.
+    slow_start_limit_multiple: float = 3.0
+    slow_start_limit_window_ms: float = 1000.0  # ms
+    max_poll_interval_ms: float = 10_000.0  # ms; longest time between calls to discovery if not subscribed
+    answer_grace_ms: float = 0.0  # ms; a final answer up to this long after the deadline still counts
+    drain_grace_ms: float = 0.0  # ms; sends to an endpoint must stop this soon after it begins to drain
+    key_quiet_ms: float = 0.0  # ms; pause of an in-order key after an attempt that may still be executing
+    attempts: AttemptLimit | None = None  # None: no limit
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points taken off the result, as the site counts them."""
+    """Points that the environment subtracts from the result; requests here exclude retries by clients."""
 
-    cross_zone: float = 0.0  # an attempt that crosses zones, per first try
-    probe: float = 0.0  # a probe, per first try
-    handshake: float = 0.0  # a new connection, per first try
-    connection: float = 0.0  # mean open connections, over 100 times the endpoints
-    discovery: float = 0.0  # list lines sent, over 100 times the first tries
-    waste: float = 0.0  # work that served no answer, as a share of work offered
-    late_failure: float = 0.0  # weight that ended unserved after its objective
+    cross_zone: float = 0.0  # attempts that cross zones, per request
+    probe: float = 0.0  # load probes, per request
+    handshake: float = 0.0  # new connections, per request
+    connection: float = 0.0  # mean number of open connections, over 100 times the number of endpoints
+    discovery: float = 0.0  # list entries that discovery sent, over 100 times the requests
+    waste: float = 0.0  # work that led to no served answer, as a share of the work offered
+    late_failure: float = 0.0  # priority weight of requests that ended unserved after their latency objective
 
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """Weights of what the result is made of."""
+    """Weights of the parts that make up the result."""
 
-    overall: float = 1.0  # weight served over weight asked for, all in all
-    worst_window: float = 0.0  # the same in the worst stretch
-    worst_class: float = 0.0  # the same of the class served worst
-    worst_tenant: float = 0.0  # the same of the tenant served worst, within its quota
-    tail: float = 0.0  # weight in time, counted in full only while few requests miss their objective
-    tail_slack: float = 0.0  # the share of misses that is few
-    nines: float = 0.0  # mean of -log10 of the share not served in time, over `full_at_nines`
-    full_at_nines: float = 3.0
+    overall: float = 1.0  # weight served over weight requested, over the whole run
+    worst_window: float = 0.0  # the same in the worst time window
+    worst_class: float = 0.0  # the same for the class served worst
+    worst_tenant: float = 0.0  # the same for the tenant served worst, within its quota
+    tail: float = 0.0  # weight served in time; counts in full only while few requests miss their objective
+    tail_slack: float = 0.0  # share of requests missing their objective that still counts as few
+    nines: float = 0.0  # mean of -log10 of the share not served in time, divided by `full_at_nines`
+    full_at_nines: float = 3.0  # number of nines at which `nines` counts in full
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and the rate of requests that it is entitled to."""
+    """A tenant and its quota."""
 
     name: str
-    quota_per_s: float
+    quota_per_s: float  # requests per second that it is entitled to
 
 
 @dataclass(frozen=True, slots=True)
@@ -142,25 +143,25 @@
     """All settings of one balancer.
 
     Raises:
-        ValueError: a value is out of its range; the text names the field.
+        ValueError: a value is out of its range; the message names the field.
     """
 
     classes: tuple[RequestClass, ...]
-    zone: str = ""
-    ordinal: int = 0  # this proxy's number among them, from 0
-    proxies: int = 1  # client proxies that send to the same endpoints, this one included
-    subscribe: bool = False  # discovery tells of changes only when asked
-    report_fields: tuple[str, ...] = ()  # what a load report holds, in order
-    reports: Reports = Reports.INLINE  # where load reports come, if there are any fields
-    warm_keys: bool = False  # an endpoint that served a key lately serves it with less work
-    min_step_ms: float = 0.0  # the least time between two calls of `Balancer.handle`
-    weight_by_work: bool = False  # weight counts per unit of work, not per request
+    zone: str = ""  # zone of this proxy
+    ordinal: int = 0  # number of this proxy among the proxies, from 0
+    proxies: int = 1  # number of client proxies that send to the same endpoints, this one included
+    subscribe: bool = False  # whether discovery reports changes only to subscribers
+    report_fields: tuple[str, ...] = ()  # names of the values in a load report, in order
+    reports: Reports = Reports.INLINE  # which results carry load reports, if there are report fields
+    warm_keys: bool = False  # whether an endpoint that served a key recently serves it with less work
+    min_step_ms: float = 0.0  # ms; least time between two calls of `Balancer.handle`
+    weight_by_work: bool = False  # whether priority weight counts per unit of work instead of per request
     limits: Limits = field(default_factory=Limits)
     safety: Safety = field(default_factory=Safety)
     prices: Prices = field(default_factory=Prices)
     objective: Objective = field(default_factory=Objective)
     tenants: tuple[Tenant, ...] = ()
-    over_quota_weight_share: float = 1.0  # the weight share that a request over its quota keeps
+    over_quota_weight_share: float = 1.0  # share of its weight that a request over its tenant's quota keeps
 
     def __post_init__(self) -> None:
         for cls in self.classes:
@@ -198,7 +199,7 @@
             require(safety.attempts.share >= 0, "safety.attempts.share must not be negative")
             require(safety.attempts.free >= 0, "safety.attempts.free must not be negative")
         for group in (self.prices, self.objective):
-            for known in fields(group):
-                where = f"{type(group).__name__.lower()}.{known.name}"
-                require(getattr(group, known.name) >= 0, f"{where} must not be negative")
+            for weight_field in fields(group):
+                path = f"{type(group).__name__.lower()}.{weight_field.name}"
+                require(getattr(group, weight_field.name) >= 0, f"{path} must not be negative")
         require(self.objective.full_at_nines > 0, "objective.full_at_nines must be positive")
--- a/client_proxy/balancer/__init__.py
+++ b/client_proxy/balancer/__init__.py
@@ -1,12 +1,12 @@
-"""The decisions of the load balancer, without I/O and without a clock: (time, events) in, actions out.
+"""The load balancer's decisions, without I/O or a clock: each call takes events and returns actions.
 
-`balancer.Balancer` dispatches events to its collaborators. From the bottom up:
+`balancer.Balancer` dispatches events to the other modules. These are, from the lowest layer up:
 
-- `endpoint`, `pool`, `endpoint_set`, `latency`, `class_demand`: what is known of endpoints and classes;
-- `retry_budget`, `attempt_limit`, `backoff`, `key_order`, `idle_connections`: what may be sent, and when;
-- `request`, `timers`, `state`: the requests that are not over, and what all collaborators share;
-- `slow_start`, `send_guard`, `picker`, `endpoint_selection`, `sender`: from a request to an attempt;
-- `completion`, `pending_queue`, `load_probe`, `probing`, `retrying`, `learning`: what surrounds an attempt.
+- `endpoint`, `pool`, `endpoint_set`, `latency`, `class_demand`: statistics of endpoints and request classes;
+- `retry_budget`, `attempt_limit`, `backoff`, `key_order`, `idle_connections`: limits and timing of attempts;
+- `request`, `timers`, `state`: unfinished requests, and the state that all modules share;
+- `slow_start`, `send_guard`, `picker`, `endpoint_selection`, `sender`: selecting an endpoint and sending;
+- `completion`, `pending_queue`, `load_probe`, `probing`, `retrying`, `learning`: steps around a send.
 
-Times are milliseconds on the clock of the caller; names of times and spans end in ``_ms``.
+Times are milliseconds on the caller's clock; names of points in time and of durations end in ``_ms``.
 """
--- a/client_proxy/balancer/backoff.py
+++ b/client_proxy/balancer/backoff.py
@@ -1,4 +1,4 @@
-"""The wait before a retry."""
+"""The backoff before a retry: decorrelated jitter."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 
 def backoff_ms(previous_ms: float, random: Random) -> float:
-    """The next wait by decorrelated jitter: drawn from the wait before, not from the attempt's number."""
+    """Draw the next backoff by decorrelated jitter: from the previous backoff, not the number of attempts."""
     return min(BACKOFF_CAP_MS, BACKOFF_BASE_MS + random.random() * (previous_ms * 3 - BACKOFF_BASE_MS))
--- a/client_proxy/balancer/balancer.py
+++ b/client_proxy/balancer/balancer.py
@@ -1,12 +1,14 @@
-"""The dispatcher of the balancer: one call takes in events and returns actions.
+"""The balancer's entry point: each call handles events and returns actions.
 
-One `Balancer` serves one client proxy. The proxy calls `Balancer.handle` with the time and what happened, and
-carries out the actions that it returns. Events and actions are those of `client_proxy.api`; read these first.
+One `Balancer` serves one client proxy. The proxy calls `Balancer.handle` with the current time and the events
+since the last call, and carries out the returned actions. Events and actions are defined in
+`client_proxy.api`; read these modules first.
 
-The ordinary path of a request: two ready endpoints are drawn, and the one with the higher payoff over
-requests in flight gets the attempt. A failed attempt is retried elsewhere after a backoff with decorrelated
-jitter, within the request's absolute deadline, if the retry budget, which served answers refill, has the
-tokens. Departures from it are described where they are made.
+The usual path of a request: two ready endpoints are drawn at random, and the one with the higher score
+(payoff divided by one plus its requests in flight) gets the attempt. A failed attempt is retried at another
+endpoint after a backoff with decorrelated jitter, within the request's absolute deadline, if the retry budget
+has enough tokens; successful answers refill it. Exceptions from this path are described in the modules that
+make them.
 """
 
 from __future__ import annotations
@@ -44,20 +46,23 @@
 from client_proxy.balancer.sender import Sender
 from client_proxy.balancer.state import BalancerState
 
-# Two calls to discovery lie no further apart: what discovery has counts as notified 6 s later.
+# Longest wait between two calls to discovery after a failure. What discovery lists counts as known to this
+# proxy 6 s later, whether or not it has heard of it.
 MAX_RESUBSCRIBE_MS = 1500.0
 MAX_RESUBSCRIBE_DOUBLINGS = 16
-HOOK_RECHECK_MS = 20.0  # a hook's limits open as time passes: pending requests are tried again after this
-CLOSES_CONNECTION = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)  # none is idle after these
+# Pending requests are tried again after this time, because a hook's limits may open without any event.
+HOOK_RECHECK_MS = 20.0
+# Outcomes that leave no connection open for reuse.
+CLOSES_CONNECTION = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
 
 
 class Balancer:
-    """The decisions of one client proxy.
+    """The load-balancing decisions of one client proxy.
 
     Args:
-        settings: request classes, limits and rules.
-        seed: of all random draws; the same seed and events give the same actions.
-        hook: narrows and orders the choices; None: nothing does.
+        settings: request classes, limits and safety rules.
+        seed: seed of all random draws; the same seed and events give the same actions.
+        hook: policy that restricts and orders the choices; None: no policy.
     """
 
     def __init__(self, settings: Settings, seed: int, hook: BalancerHook | None = None) -> None:
@@ -83,18 +88,18 @@
         self._prober = LoadProber(state, self.guard, self.picker, self._sender, self._queue, self._completion)
         self._retrier = Retrier(state, self._completion, self._dispatch)
         self.pending = self._queue.by_class
-        self._hook_timer = 0  # token of the timer for what a hook's limits hold back; 0: none
+        self._hook_timer = 0  # token of the timer that retries requests held back by a hook; 0: none
         self._failed_polls = 0
         self._started = False
 
     @property
     def now_ms(self) -> float:
-        """The time of the last call; before the first -inf."""
+        """The time of the last call of `handle`, in ms; -inf before the first."""
         return self._state.now_ms
 
     @property
     def retry_budget(self) -> RetryBudget:
-        """The tokens for retries; balancers that follow each other on one proxy share them."""
+        """The retry tokens; successive balancers of one proxy share the same budget."""
         return self._state.retry_budget
 
     @retry_budget.setter
@@ -102,15 +107,15 @@
         self._state.retry_budget = budget
 
     def handle(self, now_ms: float, events: Sequence[Event]) -> list[Action]:
-        """Take in what happened by `now_ms`.
+        """Handle the events that occurred up to `now_ms`.
 
         Returns:
-            What to do now, in that order.
+            The actions to carry out now, in this order.
 
         Raises:
-            TimeReversedError: the time lies before that of the last call.
-            DuplicateRequestError: a request arrived twice.
-            UnknownEventError: an event is none.
+            TimeReversedError: `now_ms` is earlier than in the last call.
+            DuplicateRequestError: a request arrived with the id of an unfinished one.
+            UnknownEventError: an object in `events` is not an event.
         """
         state = self._state
         if now_ms < state.now_ms:
@@ -140,28 +145,29 @@
             case AttemptEnded():
                 self._on_attempt_ended(event)
             case RequestArrived():
-                self._on_request(event)
+                self._on_request_arrived(event)
             case TimerFired():
                 self.timers.fire(event.token)
             case EndpointsListed():
-                self._on_list(event)
+                self._on_endpoints_listed(event)
             case ClientDisconnected():
                 if event.request_id in self.requests:
                     self._completion.finish(self.requests[event.request_id])
             case StreamStarted():
-                self._on_stream(event)
+                self._on_stream_started(event)
             case ProbeEnded():
                 self._prober.probe_ended(event)
             case _:
                 raise UnknownEventError(f"not an event: {event!r}")
 
-    def _on_list(self, event: EndpointsListed) -> None:
+    def _on_endpoints_listed(self, event: EndpointsListed) -> None:
         state, endpoints = self._state, self.endpoint_set.endpoints
         self.endpoint_set.update(event)
         self.connected_endpoints.endpoints_listed(endpoints.values(), self.endpoint_set.used_endpoint_count())
         for endpoint in endpoints.values():
             if endpoint.decayed_ms is None and len(endpoints) > MAX_SCANNED_POOL:
-                # Drawn from at random: the statistics of what is not drawn yet decay all the same.
+                # Statistics decay only when an endpoint is a candidate, and in a large pool that is rare; so
+                # the decay of a new endpoint begins now, not when it is first drawn.
                 endpoint.decayed_ms = state.now_ms
         if self.hook is not None:
             self.hook.endpoints_listed(state.now_ms, [endpoint.listed for endpoint in endpoints.values()])
@@ -172,10 +178,10 @@
             state.actions.append(Log("discovery back"))
 
     def _resubscribe(self) -> None:
-        """Call discovery again after a while.
+        """Schedule another call to discovery, with exponential backoff and jitter.
 
-        A proxy without a subscription counts as notified of drains and starts that it has not heard of. So it
-        calls well inside the time that the rule allows, with jitter, so that the proxies do not call at once.
+        A proxy counts as notified of drains and starts even while its subscription is broken. So it calls
+        well within `max_poll_interval_ms`; the jitter keeps proxies from all calling at the same time.
         """
         state = self._state
         if self._failed_polls == 0:
@@ -187,7 +193,7 @@
         jitter = 0.5 + self.random.random() / 2
         state.timers.start(wait_ms * jitter, lambda: state.actions.append(Subscribe()))
 
-    def _on_request(self, event: RequestArrived) -> None:
+    def _on_request_arrived(self, event: RequestArrived) -> None:
         state = self._state
         if event.request_id in self.requests:
             raise DuplicateRequestError(f"request {event.request_id} arrived twice")
@@ -208,7 +214,7 @@
             self._dispatch(request)
 
     def _new_request(self, event: RequestArrived) -> Request:
-        """The request of an event; what the event leaves open follows from its class."""
+        """Create the request of an event; values that the event lacks come from the request's class."""
         now_ms = self._state.now_ms
         latency = self.class_latencies.get(event.class_name)
         request_class = latency.request_class if latency else None
@@ -222,20 +228,20 @@
         return request
 
     def _dispatch(self, request: Request) -> None:
-        """Send the request's next attempt now, or hold it until an endpoint may take it."""
-        if self._completion.is_hopeless(request):
+        """Send the request's next attempt now, or queue it until an endpoint may take it, or give it up."""
+        if self._completion.cannot_finish_in_time(request):
             self._completion.give_up(request)
         elif not self.key_order.is_next(request, self._state.now_ms):
             request.waits_for_key = self._queue.wait_while_useful(request)
         elif not self._prober.try_probe(request) and not self._sender.try_send(request):
             if self._queue.is_shed_by_gates(request):
-                # Rejected only after a wait, its client's retry would be late before it comes.
+                # Reject at once: after a wait here, a retry by the client would come too late.
                 self._completion.give_up(request)
             else:
                 self._queue.add(request)
 
     def _dispatch_freed_keys(self) -> None:
-        """Dispatch the next request of each key that has become free."""
+        """Dispatch the next request of each key whose earlier request is over."""
         freed_keys = self._state.freed_keys
         while freed_keys:
             request = self.key_order.next_waiting(freed_keys.popleft(), self._state.now_ms)
@@ -294,8 +300,8 @@
             request_class,
         )
 
-    def _on_stream(self, event: StreamStarted) -> None:
+    def _on_stream_started(self, event: StreamStarted) -> None:
         request = self.requests.get(event.request_id)
         if request is not None and not request.done:
-            request.streaming = True  # the attempt is the client's now; no deadline runs
+            request.streaming = True  # the answer goes to the client as it comes; no timeout applies any more
             self.timers.cancel_for(request)
--- a/client_proxy/balancer/class_demand.py
+++ b/client_proxy/balancer/class_demand.py
@@ -1,39 +1,41 @@
-"""The demand by request class, and what work on each class is worth."""
+"""The demand of each request class, and which classes gain the objective most per unit of work."""
 
 from __future__ import annotations
 
 from client_proxy.api.settings import Settings
 
-DEMAND_SMOOTHING = 0.02  # about the last hundred requests count
+DEMAND_SMOOTHING = 0.02  # weight of a new sample: an average over about the last hundred requests
 
 
 class ClassDemand:
-    """What is asked of this proxy, by class, and how much of it is served in time."""
+    """Tracks, by class, the work requested from this proxy and the share of it that is served in time."""
 
     def __init__(self, settings: Settings) -> None:
         self._objective = settings.objective
         self._weight_by_work = settings.weight_by_work
         self._priority_weights = {cls.name: cls.priority_weight for cls in settings.classes}
-        self._requests = dict.fromkeys(self._priority_weights, 1.0)  # smoothed share of the arrivals
-        self._work = dict.fromkeys(self._priority_weights, 1.0)  # and of their work
-        self._served = dict.fromkeys(self._priority_weights, 1.0)  # smoothed share served in time
+        # All three are smoothed and by class: share of the requests, work per request of any class, and
+        # earned share of the priority weight.
+        self._requests = dict.fromkeys(self._priority_weights, 1.0)
+        self._work = dict.fromkeys(self._priority_weights, 1.0)
+        self._served = dict.fromkeys(self._priority_weights, 1.0)
 
     def request_arrived(self, class_name: str, work: float) -> None:
-        """Take in a request with its expected work."""
-        for known in self._work:
-            self._requests[known] *= 1 - DEMAND_SMOOTHING
-            self._work[known] *= 1 - DEMAND_SMOOTHING
+        """Record the arrival of a request with its expected work."""
+        for name in self._work:
+            self._requests[name] *= 1 - DEMAND_SMOOTHING
+            self._work[name] *= 1 - DEMAND_SMOOTHING
         if class_name in self._work:
             self._requests[class_name] += DEMAND_SMOOTHING
             self._work[class_name] += DEMAND_SMOOTHING * work
 
     def request_ended(self, class_name: str, earned_share: float) -> None:
-        """Take in the share of its priority weight that a request has earned."""
+        """Record which share of its priority weight a request has earned, from 0 to 1."""
         if class_name in self._served:
             self._served[class_name] += DEMAND_SMOOTHING * (earned_share - self._served[class_name])
 
     def classes_by_gain(self) -> list[str]:
-        """Classes by what a unit of work on them adds to the objective, the most first."""
+        """Names of the classes, by what a unit of their work adds to the objective, the highest first."""
         demand = self._work if self._weight_by_work else self._requests
         weights = {name: weight * demand[name] for name, weight in self._priority_weights.items()}
         total = sum(weights.values()) or 1.0
@@ -41,19 +43,20 @@
         worst = min(self._served, key=lambda name: self._served[name], default="")
 
         def gain(name: str) -> float:
-            # By the overall objective alone the cheapest class would starve; the worst class counts as well.
+            # By the overall objective alone the class with the least gain would starve, so the part of the
+            # objective that counts the worst-served class is added for that class.
             extra = self._objective.worst_class if name == worst else 0.0
             return (overall * weights[name] / total + extra) / self._work[name]
 
         return sorted(self._priority_weights, key=gain, reverse=True)
 
     def admitted_share(self, class_name: str, share: float) -> float:
-        """How much of a class's work to admit where `share` of all is: the classes ranked first get all."""
+        """The share of a class's work to admit, if `share` of all work is; highest gain first."""
         if share >= 1 or class_name not in self._work:
             return share
-        left = share * sum(self._work.values())
+        remaining = share * sum(self._work.values())
         for ranked in self.classes_by_gain():
             if ranked == class_name:
                 break
-            left -= self._work[ranked]
-        return min(1.0, max(0.0, left / self._work[class_name]))
+            remaining -= self._work[ranked]
+        return min(1.0, max(0.0, remaining / self._work[class_name]))
--- a/client_proxy/balancer/completion.py
+++ b/client_proxy/balancer/completion.py
@@ -1,4 +1,4 @@
-"""The end of a request: its one answer, and what it leaves free."""
+"""Ends requests: sends the one final answer, cancels the timer, and frees the request's key."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from client_proxy.balancer.request import Request
 from client_proxy.balancer.state import BalancerState
 
-CLOCK_ROUNDING_MS = 0.01  # a timer this much later has surely not fired before its time
-DEADLINE_MARGIN_MS = 50.0  # a retry closer than this to the deadline is an expensive failure
+CLOCK_ROUNDING_MS = 0.01  # added to a delay so that rounding cannot make its timer fire too early
+DEADLINE_MARGIN_MS = 50.0  # a retry closer to the deadline than this would most likely be wasted work
 
 
 class RequestCompletion:
-    """Ends requests, each with one answer at most."""
+    """Ends requests, each with at most one final answer."""
 
     def __init__(self, state: BalancerState) -> None:
         self._state = state
 
     def give_up(self, request: Request) -> None:
-        """Answer that the request is rejected, so that a retry is harmless, or failed if it may have run."""
+        """Answer that the request is rejected (safe to retry), or failed if it may have been executed."""
         state = self._state
         state.demand.request_ended(request.class_name, 0.0)
         if request.first_possible_execution() is None:
@@ -35,13 +35,14 @@
         self._state.actions.append(Fail(request.id))
         self.finish(request)
 
-    def is_hopeless(self, request: Request) -> bool:
-        """Whether no answer can come in time.
+    def cannot_finish_in_time(self, request: Request) -> bool:
+        """Whether the time left is shorter than the fastest answer expected of the request's class.
 
-        What arrives with next to no time left, or is found so after a stall, would be work for nobody; one
-        that would have been answered unusually fast is lost by it. Of a class without any answer yet little
-        is asked: its latency objective may be far above what its clients wait, and then nothing would ever
-        be known of it.
+        A request that arrives with almost no time left, or has almost none after a stall, would only cause
+        wasted work. The cost is the rare request that would have been answered unusually fast. For a class
+        without any answer yet, the time needed is capped at `DEADLINE_MARGIN_MS`: until then it is estimated
+        from the latency objective, which may be far above what the clients wait, and no request of the class
+        would ever be sent.
         """
         state = self._state
         latency = state.class_latencies.get(request.class_name)
@@ -51,7 +52,7 @@
         return request.useful_until_ms() - state.now_ms <= needed_ms
 
     def finish(self, request: Request) -> None:
-        """Take note that the client is owed nothing more."""
+        """Mark a request as done (its client is owed nothing more); refund the token of an unsent retry."""
         request.done = True
         request.probes_in_flight = 0
         if request.retry_token_spent:
@@ -61,7 +62,7 @@
         self.forget_if_over(request)
 
     def forget_if_over(self, request: Request) -> None:
-        """Forget a request that is done once none of its attempts is in flight, and free its key."""
+        """Remove a done request once none of its attempts is in flight, and free its key."""
         state = self._state
         if request.attempts_in_flight or state.requests.pop(request.id, None) is None:
             return
--- a/client_proxy/balancer/endpoint.py
+++ b/client_proxy/balancer/endpoint.py
@@ -1,4 +1,4 @@
-"""One endpoint as this proxy has come to know it: its load, its answers, and how far it is trusted."""
+"""What this proxy has learned of one endpoint: load, latency, errors, concurrency limit and pauses."""
 
 from __future__ import annotations
 
@@ -9,39 +9,41 @@
 from client_proxy.api.settings import Safety
 from client_proxy.rates import SMOOTHING, WindowCount, doubled_pause_ms, warmed_up_share
 
-# An endpoint that owes answers gives none for a time that this many mean gaps between them fit in once
-# in e**5 times by chance.
+# An endpoint is stalled after this many mean gaps between answers without one. With random arrivals a gap
+# that long occurs by chance once in e**5 gaps.
 STALL_GAPS = 5.0
-STALL_PARALLELISM = 4  # with more in flight gaps are not taken to be shorter: few are served side by side
-# Growth of a limit for each round of answers: by the time slowness shows, a surge has had some rounds.
+# Endpoints serve few requests in parallel, so more in flight than this does not shorten the expected gap.
+STALL_PARALLELISM = 4
+# Growth of the concurrency limit per round of answers. It is slow because by the time latency shows a surge,
+# the limit has already grown for several rounds.
 LIMIT_GROWTH = 0.25
-# Up to this share above the mean of all endpoints, failures among recent attempts are an endpoint's bad luck;
-# one in good ones is 0.2.
+# An endpoint is paused when its smoothed error share exceeds the mean of all endpoints by more than this. One
+# error among successes raises the share by 0.2, so a single error is tolerated.
 TOLERATED_ERROR_SHARE = 0.3
-HEALTHY_ERROR_SHARE = 0.1  # below this share a class has had no errors lately
-INITIAL_CONCURRENCY_LIMIT = 1.0  # on an endpoint nothing is known of: many proxies may start at once
+HEALTHY_ERROR_SHARE = 0.1  # below this smoothed error share, a class counts as healthy at the endpoint
+INITIAL_CONCURRENCY_LIMIT = 1.0  # low because many proxies may begin to use a new endpoint at once
 
 
 @dataclass(slots=True)
 class ClassStatistics:
-    """What a class of requests meets at an endpoint."""
+    """Statistics of one request class at one endpoint."""
 
-    earned_weight: float  # smoothed share of priority weight that its answers earned
-    error_share: float = 0.0  # smoothed share of errors among its answers
-    pause_count: int = 0  # its pauses, less answers since
+    earned_weight: float  # smoothed share of the priority weight that attempts earned, from 0 to 1
+    error_share: float = 0.0  # smoothed share of failed attempts
+    pause_count: int = 0  # pauses of the class here; each served answer takes one off
     paused_until_ms: float = 0.0
-    served: bool = False  # it was served here
+    served: bool = False  # the endpoint has served a request of the class
 
 
 class Endpoint:
-    """Statistics of one process behind an endpoint; a new process gets a new object.
+    """Statistics of one server process behind an endpoint; after a restart a new object takes its place.
 
     Args:
-        listed: its entry of the endpoint list.
-        earned_weights: by class, what an endpoint that nothing is known of is taken for.
-        slowness: likewise.
-        latency_ms: likewise.
-        slow_start_window_ms: the window of the slow-start limit.
+        listed: the endpoint's entry in the endpoint list.
+        earned_weights: initial earned weight by class: the mean of all endpoints.
+        slowness: initial slowness: the mean of all endpoints.
+        latency_ms: initial smoothed latency: the mean of all endpoints.
+        slow_start_window_ms: the window in which the slow-start limit counts sends.
     """
 
     def __init__(
@@ -54,44 +56,45 @@
     ) -> None:
         self.listed = listed
         self.recent_sends = WindowCount(slow_start_window_ms)
-        self.most_sends_while_warm = 0  # in any such window that ended while it was warm
+        self.most_sends_while_warm = 0  # most sends in one window that ended while the endpoint was warm
         self.class_statistics = {name: ClassStatistics(weight) for name, weight in earned_weights.items()}
-        self.slowness = slowness  # smoothed latency, relative to the baseline of the class
-        self.saturation = 1.0  # smoothed; above 1 it gets more than it should
-        self.in_flight = 0  # attempts of this proxy
-        self.concurrency_limit = INITIAL_CONCURRENCY_LIMIT  # on the attempts of this proxy
-        self.latency_ms = latency_ms  # smoothed, over all classes
-        self.last_answer_ms = float("-inf")
-        self.awaiting_since_ms = 0.0  # since then it owes answers and has given none
-        self.consecutive_failures = 0  # a burst of them counted once
-        self.error_share = 0.0  # smoothed share of errors among its answers
+        self.slowness = slowness  # smoothed latency as a multiple of the class's baseline
+        self.saturation = 1.0  # smoothed slowness over the target slowness; above 1 it is overloaded
+        self.in_flight = 0  # attempts of this proxy in flight at the endpoint
+        self.concurrency_limit = INITIAL_CONCURRENCY_LIMIT  # on this proxy's attempts in flight
+        self.latency_ms = latency_ms  # smoothed latency over all classes; 0: unknown
+        self.last_answer_ms = float("-inf")  # when the endpoint last served an answer
+        self.awaiting_since_ms = 0.0  # start of the wait for an answer: the last answer, or a send while idle
+        self.consecutive_failures = 0  # since the last served answer; a burst of failures counts once
+        self.error_share = 0.0  # smoothed share of failed attempts, over all classes
         self.paused_until_ms = 0.0
-        self.decayed_ms: float | None = None  # up to when its statistics have decayed
-        self.slow_start_credit = 0.0  # work that it may be sent while warming up
-        self.slow_start_credit_ms: float | None = None  # when that was computed
-        self.last_used_ms: float | None = None  # when the last attempt on it ended; None: no connection yet
-        # Requests in flight there by its last load probe, and ours since; None: not reported.
+        self.decayed_ms: float | None = None  # when the statistics last decayed; None: never yet
+        self.slow_start_credit = 0.0  # work that may still be sent to it while it warms up
+        self.slow_start_credit_ms: float | None = None  # when the credit was last updated; None: never yet
+        self.last_used_ms: float | None = None  # when the last attempt ended; None: no open connection
+        # Requests in flight at the endpoint as of its last load probe, plus this proxy's sends since; None:
+        # not reported.
         self.reported_in_flight: float | None = None
-        self.probed_ms = float("-inf")  # when that was
+        self.probed_ms = float("-inf")  # when the last load probe ended
         self.probe_callbacks: list[Callable[[], None]] = []  # called when the load probe in flight ends
 
     def payoff(self, class_name: str) -> float:
-        """What a request of the class may expect here, relative to other endpoints."""
+        """The expected value of sending a request of the class here: earned weight over slowness."""
         return self.class_statistics[class_name].earned_weight / self.slowness
 
     def suspended(self, now_ms: float) -> bool:
-        """Whether it gets no request for now, whatever the class."""
+        """Whether the endpoint gets no requests for now, of any class: it is paused or stalled."""
         return now_ms < self.paused_until_ms or self.stalled(now_ms)
 
     def has_capacity(self, now_ms: float, class_name: str = "") -> bool:
-        """Whether one more request of the class is within its limit, and no pause is on."""
+        """Whether one more request of the class is within the limit and no pause or stall prevents it."""
         paused = now_ms < self.class_statistics[class_name].paused_until_ms or self.suspended(now_ms)
         return self.in_flight < self.concurrency_limit and not paused
 
     def stalled(self, now_ms: float) -> bool:
-        """Whether it has given none of the answers it owes for several times their usual gap.
+        """Whether attempts are in flight and no answer has come for `STALL_GAPS` times the usual gap.
 
-        A hung or disconnected endpoint would take in work until the first time-out shows it.
+        Without this check a hung or disconnected endpoint would be sent requests until the first time-out.
         """
         if not self.in_flight or not self.latency_ms:
             return False
@@ -99,7 +102,7 @@
         return now_ms - self.awaiting_since_ms > STALL_GAPS * gap_ms
 
     def record_answer(self, now_ms: float, class_name: str, latency_ms: float) -> None:
-        """Take in a served answer."""
+        """Record a served answer and its latency."""
         self.last_answer_ms = self.awaiting_since_ms = now_ms
         self.consecutive_failures = 0
         self.error_share -= SMOOTHING * self.error_share
@@ -112,18 +115,18 @@
     def record_failure(
         self, now_ms: float, class_name: str, mean_error_share: float, pause_ms: float, max_pause_ms: float
     ) -> None:
-        """Take in a failed attempt, and pause the class or the endpoint if it fails clearly more than others.
+        """Record a failed attempt; pause the class or the endpoint if it fails clearly more than others.
 
-        A pause for each failure would throttle healthy endpoints far below what they serve: answers are
-        corrupted and connections break now and then anywhere. An endpoint may also fail one class alone; if
-        that counted against it, the other classes would lose a good endpoint.
+        A pause after every failure would throttle healthy endpoints far below their capacity, since corrupted
+        answers and broken connections occur now and then at any endpoint. An endpoint may also fail for one
+        class only; then only this class is paused, so that the other classes keep a good endpoint.
 
         Args:
             now_ms: the time.
             class_name: class of the request.
-            mean_error_share: the share that fails at all endpoints.
-            pause_ms: the first pause; it doubles with each further one,
-            max_pause_ms: up to this.
+            mean_error_share: share of failed attempts over all endpoints.
+            pause_ms: duration of the first pause; each further one is twice as long.
+            max_pause_ms: longest pause.
         """
         statistics = self.class_statistics[class_name]
         statistics.error_share += SMOOTHING * (1 - statistics.error_share)
@@ -146,9 +149,10 @@
         )
 
     def pause(self, now_ms: float, pause_ms: float, max_pause_ms: float) -> None:
-        """Send it nothing for a while, twice as long each time, and halve its concurrency limit.
+        """Suspend the endpoint, twice as long each time in a row, and halve its concurrency limit.
 
-        An endpoint that rejects work or fails at once would take in, and spoil, more than its share.
+        An endpoint that rejects or fails requests quickly has few in flight, so without pauses it would
+        attract more than its share and fail it. While a pause lasts, further failures do not extend it.
         """
         if now_ms >= self.paused_until_ms:
             self.consecutive_failures += 1
@@ -158,16 +162,19 @@
             self.concurrency_limit = max(1.0, self.concurrency_limit / 2)
 
     def record_quality(self, class_name: str, earned_weight: float, slowness: float | None) -> None:
-        """Take in what an attempt has earned, and how slow it was; None: its latency says nothing."""
+        """Record the weight that an attempt earned, and its slowness; None: its latency is not meaningful."""
         statistics = self.class_statistics[class_name]
         statistics.earned_weight += SMOOTHING * (earned_weight - statistics.earned_weight)
         if slowness is not None:
             self.slowness += SMOOTHING * (slowness - self.slowness)
 
     def adapt_concurrency_limit(self, saturation: float) -> None:
-        """Grow the limit a little a round while answers come in good time, else shrink it by their slowness.
+        """Grow the concurrency limit while answers are fast enough, else shrink it by their slowness.
 
-        Endpoints that get more than they serve slow down, time out and jam.
+        Endpoints that are sent more than they can serve slow down, time out and become congested.
+
+        Args:
+            saturation: slowness of the latest answer over the target slowness; above 1 is too slow.
         """
         self.saturation += SMOOTHING * (saturation - self.saturation)
         if self.saturation > 1:
@@ -179,9 +186,10 @@
     def decay_towards_mean(
         self, now_ms: float, span_ms: float, earned_weights: dict[str, float], slowness: float
     ) -> None:
-        """Let earned weights and slowness drift to the means of all endpoints within `span_ms`.
+        """Move earned weights and slowness towards the means of all endpoints, fully within `span_ms`.
 
-        An endpoint judged bad is never picked, so nothing else would ever show that it is healthy again.
+        An endpoint with bad statistics is hardly ever picked, so without decay no new attempt would show that
+        it has recovered.
         """
         since_ms = now_ms if self.decayed_ms is None else self.decayed_ms
         self.decayed_ms = now_ms
@@ -191,5 +199,5 @@
         self.slowness += share * (slowness - self.slowness)
 
     def warmed_up_share(self, now_ms: float, safety: Safety) -> float:
-        """The share of its full capacity that it surely has by now."""
+        """The share of its full capacity that the endpoint has at least; 1 when slow start is over."""
         return warmed_up_share(now_ms, self.listed.started_ms, safety)
--- a/client_proxy/balancer/endpoint_selection.py
+++ b/client_proxy/balancer/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoints of a pool may take a request now, and which of them gets it."""
+"""Selects the endpoint of a pool that gets a request: filters the candidates, then picks one."""
 
 from __future__ import annotations
 
@@ -9,15 +9,17 @@
 from client_proxy.balancer.send_guard import SendGuard
 from client_proxy.balancer.state import BalancerState
 
-MAX_DRAWS = 16  # from a large pool, for two endpoints
-# Own attempts in flight at endpoints that have started lately, up to which one is sent there although the
-# concurrency limit over all endpoints is reached.
+MAX_DRAWS = 16  # random draws from a large pool to find two candidates
+# While a hook's limits admit nothing more, endpoints in slow start still get requests, as long as fewer
+# attempts of this proxy than this are in flight at endpoints that started recently.
 SLOW_START_IN_FLIGHT = 2
-DECAY_DEADLINES = 4  # of the longest deadlines, in which statistics decay: what they were about is over then
+# Statistics decay to the mean within this multiple of the longest deadline: the requests that caused them are
+# long over by then.
+DECAY_DEADLINES = 4
 
 
 class EndpointSelection:
-    """Selects an endpoint of a pool for a request."""
+    """Selects an endpoint for a request among those that limits, pauses, ejections and the guard permit."""
 
     def __init__(self, state: BalancerState, guard: SendGuard, picker: Picker) -> None:
         self._state, self._guard, self._picker = state, guard, picker
@@ -28,18 +30,19 @@
         self._ejected = () if state.hook is None else state.hook.ejected
 
     def select(self, request: Request, pool: Pool, only_slow_starting: bool = False) -> Endpoint | None:
-        """The endpoint of a pool that gets the request now; None: no endpoint may take it.
+        """Select the endpoint of a pool that gets the request now; None: no endpoint may take it.
 
         Args:
-            request: the request.
-            pool: where to look.
-            only_slow_starting: whether only endpoints that warm up count, and few of their requests at once.
+            request: the request to send.
+            pool: the pool to select from.
+            only_slow_starting: whether to consider only endpoints that are warming up, and those only while
+                few attempts are in flight at recently started endpoints.
         """
         candidates = self._candidates(request, pool)
         if only_slow_starting:
-            candidates = self._slow_starting(candidates, pool)
+            candidates = self._only_slow_starting(candidates, pool)
         tried = [attempt.endpoint for attempt in request.attempts]
-        # A retry goes elsewhere; with nowhere else to go, back to where it failed.
+        # A retry goes to an endpoint not tried yet; if there is none, to one where an attempt failed.
         candidates = [endpoint for endpoint in candidates if endpoint not in tried] or candidates
         now_ms, means = self._state.now_ms, self._endpoint_set
         for endpoint in candidates:
@@ -47,7 +50,7 @@
         return self._picker.pick(now_ms, candidates, request.class_name)
 
     def least_loaded(self, request: Request) -> Endpoint | None:
-        """Of all endpoints that the guard lets through, whatever was learned of them, the least loaded."""
+        """The least loaded of all endpoints that the guard permits; suspended ones rank last."""
         now_ms = self._state.now_ms
         permitted = [
             endpoint
@@ -61,14 +64,15 @@
         if len(candidates) < 2:
             candidates = self._allowed(request, pool.endpoints_in_use(self._state.now_ms))
         if not candidates and request.attempts:
-            # Perhaps it is a retry that only some endpoints deduplicate.
+            # The endpoints that would deduplicate this retry may lie outside the subset in use.
             candidates = self._allowed(request, pool.ring)
         return candidates
 
-    def _slow_starting(self, candidates: list[Endpoint], pool: Pool) -> list[Endpoint]:
-        """Those that warm up; none while the endpoints that started lately have enough in flight.
+    def _only_slow_starting(self, candidates: list[Endpoint], pool: Pool) -> list[Endpoint]:
+        """Candidates in slow start; none while enough attempts are in flight at recently started endpoints.
 
-        A credit for one request at each of many such endpoints would else be spent all at once.
+        Each of many such endpoints may have credit for a request; without this cap all credit would be spent
+        at once.
         """
         now_ms, safety = self._state.now_ms, self._safety
         candidates = [e for e in candidates if e.warmed_up_share(now_ms, safety) < 1]
@@ -76,22 +80,22 @@
         return [] if started_in_flight >= SLOW_START_IN_FLIGHT else candidates
 
     def _draw(self, request: Request, pool: Pool) -> list[Endpoint]:
-        """Two of a large pool, as likely as by a scan; fewer if so many draws do not find them.
+        """Draw two candidates of a large pool, uniformly; fewer if `MAX_DRAWS` draws do not find two.
 
-        A scan of a thousand endpoints at each pick would cost the proxy its core.
+        Scanning a thousand endpoints for each pick would use up the proxy's CPU core.
         """
-        found = [attempt.endpoint for attempt in request.attempts]
+        drawn = [attempt.endpoint for attempt in request.attempts]
         if self._connected.prefers_connected(self._random):
-            return self._draw_connected(request, pool, found)
-        tried = len(found)
+            return self._draw_connected(request, pool, drawn)
+        tried = len(drawn)
         for _ in range(MAX_DRAWS):
             endpoint = pool.ring[self._random.randrange(pool.subset_size)]
-            if len(found) < tried + 2 and endpoint not in found and self._allowed(request, [endpoint]):
-                found.append(endpoint)
-        return found[tried:]
+            if len(drawn) < tried + 2 and endpoint not in drawn and self._allowed(request, [endpoint]):
+                drawn.append(endpoint)
+        return drawn[tried:]
 
     def _draw_connected(self, request: Request, pool: Pool, tried: list[Endpoint]) -> list[Endpoint]:
-        """Two endpoints, with an idle connection if there are any."""
+        """Draw two candidates, preferring endpoints with an idle connection."""
         now_ms = self._state.now_ms
         return self._connected.draw(
             self._random,
--- a/client_proxy/balancer/endpoint_set.py
+++ b/client_proxy/balancer/endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoint list, as far as this proxy knows it, and the pools that it makes up."""
+"""The endpoints known from discovery, their pools, and the statistics over all of them."""
 
 from __future__ import annotations
 
@@ -11,29 +11,30 @@
 from client_proxy.balancer.pool import Pool
 from client_proxy.rates import SMOOTHING
 
-# From this price of a request that crosses zones on, crossing is for when no local endpoint has capacity;
-# below it, balance over all endpoints is worth more than what the crossing costs.
+# If a cross-zone attempt costs at least this, other zones are used only when no local endpoint has capacity.
+# Below it, balancing over all endpoints gains more than the crossings cost.
 EXPENSIVE_ZONE_CROSSING = 0.05
 
 
 class EndpointSet:
-    """All known endpoints, their pools, and their means: what an unknown endpoint is taken for."""
+    """All known endpoints, their pools, and mean statistics, with which a new endpoint starts."""
 
     def __init__(self, settings: Settings, hook: BalancerHook | None = None) -> None:
         self._settings, self._hook = settings, hook
         self._zone = settings.zone
         self._prefers_local = settings.prices.cross_zone >= EXPENSIVE_ZONE_CROSSING
         self.endpoints: dict[str, Endpoint] = {}
-        # Where crossings are expensive, other zones get what the own can't take. Else all are local.
+        # If crossing zones is expensive, `local` is this proxy's zone and `remote` the others, which get what
+        # the local zone cannot take. Otherwise all endpoints are in `local`.
         self.local, self.remote = Pool(settings, hook), Pool(settings, hook)
-        self.zone_pools: dict[str, Pool] = {}  # in their place, where a hook orders zones
+        self.zone_pools: dict[str, Pool] = {}  # by zone; used instead of both if a hook orders zones
         self.earned_weight = {**{cls.name: 1.0 for cls in settings.classes}, "": 1.0}
         self.slowness, self.latency_ms = 1.0, 0.0
         self.error_share = 0.0
         self._most_sends_to_warm = 0
 
     def update(self, event: EndpointsListed) -> None:
-        """Take in a list; a failed call leaves the old one in place."""
+        """Apply a list, or changes of it, from discovery; after a failed call the known endpoints stay."""
         if event.kind is ListKind.FAILED:
             return
         if event.kind is not ListKind.DELTA:
@@ -46,11 +47,11 @@
         self._fill_pools()
 
     def _update_endpoint(self, entry: ListedEndpoint) -> None:
-        known = self.endpoints.get(entry.name)
+        endpoint = self.endpoints.get(entry.name)
         if entry.state is EndpointState.GONE:
             self._remove(entry.name)
-        elif known is None or known.listed.started_ms != entry.started_ms:
-            # New here, or a new process: the statistics of the old one are void.
+        elif endpoint is None or endpoint.listed.started_ms != entry.started_ms:
+            # A new endpoint, or a new process behind a known one: earlier statistics do not apply.
             self._remove(entry.name)
             self.endpoints[entry.name] = Endpoint(
                 entry,
@@ -60,52 +61,53 @@
                 self._settings.safety.slow_start_limit_window_ms,
             )
         else:
-            known.listed = entry
+            endpoint.listed = entry
 
     def _fill_pools(self) -> None:
         ready = [e for e in self.endpoints.values() if e.listed.state is EndpointState.READY]
         self.local.fill([e for e in ready if self.is_local(e)])
         self.remote.fill([e for e in ready if not self.is_local(e)])
         if self._hook is not None and self._hook.orders_zones:
-            before, self.zone_pools = self.zone_pools, {}
+            previous_pools, self.zone_pools = self.zone_pools, {}
             for zone in sorted({e.listed.zone for e in ready}):
-                self.zone_pools[zone] = before.get(zone) or Pool(self._settings, self._hook)
+                self.zone_pools[zone] = previous_pools.get(zone) or Pool(self._settings, self._hook)
                 self.zone_pools[zone].fill([e for e in ready if e.listed.zone == zone])
 
     def used_endpoint_count(self) -> int:
-        """How many endpoints this proxy uses, of all pools that it picks from."""
+        """The number of endpoints that this proxy uses, over all its pools."""
         return sum(pool.subset_size for pool in self.zone_pools.values() or (self.local, self.remote))
 
     def _remove(self, name: str) -> None:
-        """Forget an endpoint; a request that waits for its load probe must see that it is gone."""
-        known = self.endpoints.pop(name, None)
-        if known is not None:
-            known.listed = replace(known.listed, state=EndpointState.GONE)
+        """Remove an endpoint and mark it as gone for the requests that are waiting for its load probe."""
+        endpoint = self.endpoints.pop(name, None)
+        if endpoint is not None:
+            endpoint.listed = replace(endpoint.listed, state=EndpointState.GONE)
 
     def is_local(self, endpoint: Endpoint) -> bool:
-        """Whether it belongs to the pool that is tried first."""
+        """Whether the endpoint belongs to the pool that is tried first."""
         return not self._prefers_local or endpoint.listed.zone == self._zone
 
     def pool_of(self, endpoint: Endpoint) -> Pool:
-        """The pool that an endpoint belongs to, or would if it were ready."""
+        """The pool that an endpoint belongs to, or would belong to if it were ready."""
         default = self.local if self.is_local(endpoint) else self.remote
         return self.zone_pools.get(endpoint.listed.zone, default) if self.zone_pools else default
 
     def record_send(self, now_ms: float, endpoint: Endpoint) -> None:
-        """Count an attempt that is sent to an endpoint now."""
+        """Record an attempt that is sent to an endpoint now."""
         count = endpoint.recent_sends.add(now_ms)
         if endpoint.warmed_up_share(now_ms, self._settings.safety) >= 1:
             endpoint.most_sends_while_warm = max(endpoint.most_sends_while_warm, count)
             self._most_sends_to_warm = max(self._most_sends_to_warm, count)
 
     def within_slow_start_limit(self, now_ms: float, endpoint: Endpoint) -> bool:
-        """Whether a warming endpoint may be sent one more attempt within the window.
+        """Whether an endpoint in slow start may be sent one more attempt within the window.
 
-        Its credit goes by the rates of the last windows. When the endpoints that took this load restart, it
-        would still be paid by what these could do, while none that is warm now has ever been sent as much.
+        The slow-start credit alone is not enough: it follows the rates of recent windows. When the endpoints
+        that carried this load restart, credit would still grow at their rate, although no endpoint that is
+        warm now has ever been sent as much.
         """
         if not self._most_sends_to_warm and not self._has_warm_endpoint(now_ms):
-            return True  # one at a time goes out, by the credit
+            return True  # with no warm endpoint, the credit permits one attempt at a time
         safety = self._settings.safety
         share = endpoint.warmed_up_share(now_ms, safety)
         limit = safety.slow_start_limit_multiple * share * self._most_sends_to_warm
@@ -113,17 +115,17 @@
 
     def _has_warm_endpoint(self, now_ms: float) -> bool:
         safety = self._settings.safety
-        return any(each.warmed_up_share(now_ms, safety) >= 1 for each in self.endpoints.values())
+        return any(endpoint.warmed_up_share(now_ms, safety) >= 1 for endpoint in self.endpoints.values())
 
     def record_answer(self, now_ms: float, endpoint: Endpoint, class_name: str, latency_ms: float) -> None:
-        """Take in a served answer, for its endpoint and for the mean latency."""
+        """Record a served answer in its endpoint's statistics and in the mean latency."""
         endpoint.record_answer(now_ms, class_name, latency_ms)
         self.latency_ms += (SMOOTHING / 4 if self.latency_ms else 1.0) * (latency_ms - self.latency_ms)
 
     def record_quality(
         self, endpoint: Endpoint, class_name: str, earned_weight: float, slowness: float | None, failed: bool
     ) -> None:
-        """Take in what an attempt has earned, for its endpoint and for the means."""
+        """Record the weight that an attempt earned, and its slowness, for its endpoint and in the means."""
         endpoint.record_quality(class_name, earned_weight, slowness)
         self.earned_weight[class_name] += SMOOTHING / 4 * (earned_weight - self.earned_weight[class_name])
         self.error_share += SMOOTHING / 4 * (failed - self.error_share)
--- a/client_proxy/balancer/errors.py
+++ b/client_proxy/balancer/errors.py
@@ -1,4 +1,4 @@
-"""Errors that a caller of the balancer makes."""
+"""Errors raised when the balancer is called incorrectly."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class TimeReversedError(BalancerError, ValueError):
-    """The time of a call lies before that of the call before it."""
+    """A call has an earlier time than the call before it."""
 
 
 class DuplicateRequestError(BalancerError, ValueError):
-    """A request arrived with the id of one that is not over."""
+    """A request arrived with the id of an unfinished request."""
 
 
 class UnknownEventError(BalancerError, ValueError):
-    """An object that is no event was given as one."""
+    """An object passed as an event is not one."""
--- a/client_proxy/balancer/idle_connections.py
+++ b/client_proxy/balancer/idle_connections.py
@@ -1,4 +1,4 @@
-"""How long a connection to an endpoint may be idle before what is sent on it is lost."""
+"""Learns how long a connection may be idle before a request sent on it is likely to be lost."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 from client_proxy.api.events import Outcome
 
-SMOOTHING = 0.2  # share of the proven idle time that a connection which broke by chance takes away
-LOSS_MEMORY_MS = 60_000.0  # the loss of an idle connection is taken to tell of others for this long
+# Share by which the proven idle time shrinks when a connection idle for no longer than that is reset.
+SMOOTHING = 0.2
+LOSS_MEMORY_MS = 60_000.0  # after this long without a loss, idle connections are trusted again
 
 
 class EndpointConnection(Protocol):
-    """What is needed of an endpoint."""
+    """The attributes of an endpoint that are used here."""
 
     in_flight: int
     last_used_ms: float | None
@@ -19,56 +20,60 @@
 
 
 class AttemptOnConnection(Protocol):
-    """What is needed of an attempt that has ended."""
+    """The attributes of an ended attempt that are used here."""
 
     @property
     def endpoint(self) -> EndpointConnection:
-        """Where it was sent."""
+        """The endpoint that it was sent to."""
 
     @property
     def sent_ms(self) -> float:
-        """When it was sent."""
+        """When it was sent, in ms."""
 
     @property
     def connection_idle_ms(self) -> float | None:
-        """How long its connection had been idle; None: a new or busy one."""
+        """How long its connection had been idle when it was sent, in ms; None: a new or busy connection."""
 
     @property
     def outcome(self) -> Outcome | None:
-        """How it ended."""
+        """Its result; None while in flight."""
 
 
 class IdleConnections:
-    """How long a connection may be idle before what is sent on it is lost, learned over all endpoints.
+    """Estimates, over all endpoints, how long a connection may be idle and still be safe to use.
 
-    Middleboxes drop idle connections without notice, and what is sent on one is reset or never answered; at
-    few requests nearly all connections are found idle. A connection counts as lost when a send on it is reset
-    sooner than any answer comes, or when two in a row time out. From then on connections that were idle for
-    half as long are closed before the send, which opens a new one. That also catches restarts which the
-    endpoint list does not show. The cost are unneeded handshakes, until no such loss was seen for a while.
+    Middleboxes drop idle connections without notice; a request sent on such a connection is reset or never
+    answered. With few requests nearly all connections are idle. A connection counts as lost when a send on an
+    idle connection is reset sooner than any answer is expected, or when two such sends in a row time out.
+    From then on connections idle for more than half as long are closed before a send, so that a new one is
+    opened. This also handles restarts that the endpoint list does not show. The cost is unnecessary
+    handshakes, until no loss has occurred for `LOSS_MEMORY_MS`.
+
+    Args:
+        idle_timeout_ms: connections idle for this long are closed by the proxy; None: not known.
     """
 
     def __init__(self, idle_timeout_ms: float | None) -> None:
         self._idle_timeout_ms = idle_timeout_ms if idle_timeout_ms is not None else float("inf")
         self._safe_idle_ms = float("inf")
-        self._proven_idle_ms = 0.0  # what was sent after this long was served lately
-        self._consecutive_stalls = 0
+        self._proven_idle_ms = 0.0  # longest idle time after which a send was served; shrinks after resets
+        self._consecutive_timeouts = 0
         self._last_loss_ms = 0.0
 
     def idle_for(self, endpoint: EndpointConnection, now_ms: float) -> float | None:
-        """How long the connection that a send takes now was idle, in ms; None: it is not an idle one."""
+        """How long the connection for the next send has been idle, in ms; None: a new or busy connection."""
         if endpoint.in_flight or endpoint.last_used_ms is None:
             return None
         idle_ms = now_ms - endpoint.last_used_ms
         return idle_ms if idle_ms < self._idle_timeout_ms else None
 
     def exceeds_safe_idle(self, idle_ms: float, now_ms: float) -> bool:
-        """Whether a connection idle for so long should be closed before it is used."""
+        """Whether a connection idle for `idle_ms` should be closed instead of used."""
         if now_ms - self._last_loss_ms > LOSS_MEMORY_MS:
             self._safe_idle_ms = float("inf")
         return idle_ms > self._safe_idle_ms
 
-    def lost_idle(
+    def detect_idle_loss(
         self,
         attempt: AttemptOnConnection,
         latency_ms: float,
@@ -76,35 +81,37 @@
         uncongested: bool,
         now_ms: float,
     ) -> bool:
-        """Whether an attempt failed because its idle connection was lost, as far as can be told.
+        """Record an ended attempt; returns whether it probably failed because its idle connection was lost.
 
         Args:
             attempt: the attempt, with its outcome.
-            latency_ms: how long it took.
-            fastest_answer_ms: no answer is expected sooner.
-            uncongested: whether endpoints are free of congestion; under it a time-out tells nothing.
+            latency_ms: duration of the attempt.
+            fastest_answer_ms: no answer is expected sooner than this.
+            uncongested: whether the endpoints are free of congestion; under congestion time-outs are ignored,
+                as they may have that cause.
             now_ms: the time.
         """
         outcome = attempt.outcome
         if outcome is Outcome.CONNECT_FAILED:
-            # No new connection can be opened: closing would give away the few that are open.
+            # New connections cannot be opened now, so the open ones must not be closed.
             self._safe_idle_ms = float("inf")
         idle_ms = attempt.connection_idle_ms
         if idle_ms is None:
             return False
         if outcome is Outcome.OK:
-            self._consecutive_stalls = 0
+            self._consecutive_timeouts = 0
             self._proven_idle_ms = max(self._proven_idle_ms, idle_ms)
             return False
         unanswered = outcome is Outcome.TIMEOUT and attempt.endpoint.last_answer_ms < attempt.sent_ms
-        stalled = unanswered and uncongested
-        self._consecutive_stalls += stalled
+        timed_out = unanswered and uncongested
+        self._consecutive_timeouts += timed_out
         if outcome is Outcome.RESET and idle_ms <= self._proven_idle_ms:
-            # Connections that break by chance, idle or not, would else soon all be closed before use.
+            # Connections also break by chance, idle or not. Counted as losses, such resets would soon have
+            # all connections closed before use.
             self._proven_idle_ms *= 1 - SMOOTHING
             return False
         early_reset = outcome is Outcome.RESET and latency_ms < fastest_answer_ms
-        lost = early_reset or (stalled and self._consecutive_stalls >= 2)
+        lost = early_reset or (timed_out and self._consecutive_timeouts >= 2)
         if lost:
             self._remember_loss(now_ms, idle_ms)
         return lost
--- a/client_proxy/balancer/pending_queue.py
+++ b/client_proxy/balancer/pending_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for an endpoint."""
+"""The queue of requests that wait for an endpoint."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class PendingQueue:
-    """Holds requests back until an endpoint may take them, or until they can no longer be served in time.
+    """Holds requests until an endpoint may take them, or until they can no longer be served in time.
 
-    Work that is sent to full endpoints queues there until it is late, and jams them.
+    Sent to endpoints without capacity, they would queue there until they are late, and congest the endpoints.
     """
 
     def __init__(self, state: BalancerState, sender: Sender, completion: RequestCompletion) -> None:
         self._state, self._sender, self._completion = state, sender, completion
         self._hook = state.hook
-        self.by_class: dict[str, list[Request]] = {}  # the newest last
+        self.by_class: dict[str, list[Request]] = {}  # pending requests by class, the newest last
 
     def add(self, request: Request) -> None:
-        """Let a request wait, or give it up where it would wait in vain."""
+        """Queue a request, or give it up if the hook forbids the wait or no time is left for it."""
         hook = self._hook
         if hook is not None and not request.attempts:
             pending = sum(map(len, self.by_class.values()))
@@ -33,7 +33,7 @@
             self.by_class.setdefault(request.class_name, []).append(request)
 
     def wait_while_useful(self, request: Request) -> bool:
-        """Start the timer that gives a request up; False: it is given up now, as no time is left to wait."""
+        """Start the timer that gives the request up; False: no time is left, so it is given up now."""
         request_class = request.request_class
         mean_ms = DEFAULT_WORK_MS
         if request_class is not None:
@@ -46,16 +46,20 @@
         return True
 
     def is_shed_by_gates(self, request: Request) -> bool:
-        """Whether it is the admission gates alone that hold the request back."""
-        listed = self._state.endpoint_set
-        pools = [pool for pool in listed.zone_pools.values() or (listed.local, listed.remote) if pool.ring]
+        """Whether the request is held back because no pool's admission gate admits it."""
+        endpoint_set = self._state.endpoint_set
+        pools = [
+            pool
+            for pool in endpoint_set.zone_pools.values() or (endpoint_set.local, endpoint_set.remote)
+            if pool.ring
+        ]
         admitted = any(
             pool.admission_gate.admits(request.class_name, request.expected_work) for pool in pools
         )
         return bool(pools) and not admitted
 
     def send_pending(self) -> None:
-        """Go through the queue once: by class, the most valuable first; in a class, the newest first."""
+        """Try to send all pending requests: the highest gain first, within a class the newest first."""
         if not self.by_class:
             return
         class_order: Sequence[str] = self._state.demand.classes_by_gain()
@@ -67,14 +71,14 @@
                 self.by_class[class_name] = waiting
 
     def _send_class(self, pending: list[Request]) -> list[Request]:
-        """Send what endpoints may take; returns the requests that go on waiting, the newest last."""
+        """Send requests of a class as far as endpoints may take them; returns the rest, the newest last."""
         waiting: list[Request] = []
-        full = False  # a first attempt, which may go anywhere, found no endpoint
+        no_capacity = False  # a first attempt, which may go to any endpoint, found none
         for request in reversed(pending):
             if request.done or request.timer_token is None:
                 continue
             is_first_attempt = not request.attempts
-            if (full and is_first_attempt) or not self._sender.try_send(request):
-                full = full or is_first_attempt
+            if (no_capacity and is_first_attempt) or not self._sender.try_send(request):
+                no_capacity = no_capacity or is_first_attempt
                 waiting.append(request)
         return waiting[::-1]
--- a/client_proxy/balancer/picker.py
+++ b/client_proxy/balancer/picker.py
@@ -1,4 +1,4 @@
-"""The pick of one endpoint among those that may take a request."""
+"""Picks one endpoint among the candidates for a request."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Picker:
-    """Power of two choices: the better of two random endpoints, by payoff over requests in flight."""
+    """Power of two random choices: picks the one with the higher payoff per request in flight."""
 
     def __init__(self, random: Random, hook: BalancerHook | None) -> None:
         self._random = random
         self._score_factor = hook.score_factor if hook is not None and hook.scales_scores else None
 
     def pick(self, now_ms: float, candidates: Sequence[Endpoint], class_name: str) -> Endpoint | None:
-        """The better of two different candidates; the only one, if there is just one."""
+        """Pick the better of two random candidates, or the only one; None if there are none."""
         if len(candidates) < 2:
             return candidates[0] if candidates else None
         first = self._random.randrange(len(candidates))
@@ -28,7 +28,7 @@
         return left if left_wins else right
 
     def score(self, now_ms: float, endpoint: Endpoint, class_name: str) -> float:
-        """The higher the better. Slow start does not count here: its credit limits the endpoint already."""
+        """The score of an endpoint, higher is better; slow start is left out, as its credit is a limit."""
         in_flight: float = endpoint.in_flight
         if endpoint.reported_in_flight is not None:
             in_flight = max(endpoint.reported_in_flight, in_flight)
--- a/client_proxy/balancer/pool.py
+++ b/client_proxy/balancer/pool.py
@@ -1,4 +1,4 @@
-"""A pool: endpoints that are as good as each other to this proxy, and the subset of them that it uses."""
+"""A pool of endpoints that this proxy treats alike, and the subset of them that it uses."""
 
 from __future__ import annotations
 
@@ -11,26 +11,28 @@
 from client_proxy.limits.admission import AdmissionGate
 from client_proxy.rates import WorkRate
 
-# Of a large fleet a proxy uses this many endpoints, so that it sees each often enough to judge it, and more
-# where proxies are few, so that each endpoint is used by this many of them.
+# In a large fleet a proxy uses only a subset of the endpoints, of at least this size, so that it sends to
+# each often enough to judge it. With few proxies the subset is larger, so that at least this many of them use
+# each endpoint.
 MIN_SUBSET_SIZE, MIN_PROXIES_PER_ENDPOINT = 4, 12
-# So many proxies that share an endpoint overload it with a request each, while each keeps to its own limit.
+# More proxies than this per endpoint can overload it with one request each, although each keeps its own
+# limit.
 CONGESTION_PROXIES = 10
-# Its multiples spread evenly over the circle, however the numbers are dealt out.
+# Multiples of it modulo 1 are spread evenly, whichever ordinals the proxies have (Weyl sequence).
 GOLDEN_RATIO_CONJUGATE = 0.6180339887498949
-RATE_WINDOWS = 4  # slow-start windows over which the work sent to the others is smoothed
-# An endpoint that is warming up is sent this part of the slow-start limit, by the estimate of its capacity:
-# with the usual multiple of three just its share of what the others get. The rest is for machines slower than
-# their fleet's mean, and for bursts.
+RATE_WINDOWS = 4  # number of slow-start windows over which the work sent to warm endpoints is smoothed
+# Share of the slow-start limit that an endpoint in slow start is sent, by the estimate of its capacity. With
+# the usual limit multiple of three, it is just its share of what warm endpoints get. The rest of the limit is
+# a reserve for machines slower than the mean of the fleet, and for bursts.
 SLOW_START_MARGIN = 1 / 3
-# Where many warm up at once, work would wait at the others while these are idle. So one is sent this many
-# times as much for as long as it is not saturated.
+# While many endpoints warm up at once, work would queue at the warm ones while these are idle. So an endpoint
+# in slow start that is not saturated is sent this many times as much.
 SLOW_START_RELIEF = 2.0
-MAX_SCANNED_POOL = 32  # a pool that uses more endpoints is drawn from at random, not scanned
+MAX_SCANNED_POOL = 32  # from a larger subset candidates are drawn at random, without a scan of all endpoints
 
 
 class Pool:
-    """Endpoints in the order of this proxy's ring, and the admission gate in front of them."""
+    """Endpoints in the order in which this proxy uses them, and the admission gate in front of them."""
 
     def __init__(self, settings: Settings, hook: BalancerHook | None = None) -> None:
         self._proxies = settings.proxies
@@ -38,52 +40,52 @@
         self._ejected = frozenset() if hook is None else hook.ejected
         self._ring_start = settings.ordinal * GOLDEN_RATIO_CONJUGATE % 1
         self._safety = settings.safety
-        self.ring: list[Endpoint] = []  # from this proxy's position on
-        self.subset_size = 0  # how many of them it uses
+        self.ring: list[Endpoint] = []  # all endpoints, beginning at this proxy's position on the ring
+        self.subset_size = 0  # number of endpoints that this proxy uses
         self._mean_weight = 1.0
         self.admission_gate = AdmissionGate()
         self.work_rate = WorkRate(RATE_WINDOWS * settings.safety.slow_start_limit_window_ms)
 
     def fill(self, endpoints: list[Endpoint]) -> None:
-        """Take these endpoints in place of all before.
+        """Replace the endpoints of the pool.
 
-        The ring is ordered by a hash of the names. Neighbours of one zone would be lost together, and all
-        proxies that used them would go on to the same next ones; by the hash those that come next are of all
-        zones, and others for each proxy.
+        The ring is ordered by a hash of the names. If neighbours on the ring were of one zone, they could
+        fail together, and all proxies that used them would move on to the same next endpoints. With the hash,
+        the next ones are spread over all zones and differ from proxy to proxy.
         """
         ring = sorted(endpoints, key=lambda e: (crc32(e.listed.name.encode()), e.listed.name))
-        start = int(self._ring_start * len(ring))
-        self.ring = ring[start:] + ring[:start]
+        start_index = int(self._ring_start * len(ring))
+        self.ring = ring[start_index:] + ring[:start_index]
         self._mean_weight = sum(e.listed.weight for e in ring) / max(1, len(ring))
         subset = ceil(MIN_PROXIES_PER_ENDPOINT * len(ring) / self._proxies)
         self.subset_size = min(len(ring), max(MIN_SUBSET_SIZE, subset))
 
     def proxies_per_endpoint(self) -> float:
-        """How many proxies use one of its endpoints, about."""
+        """The approximate number of proxies that use each of the pool's endpoints."""
         return max(1.0, self._proxies * self.subset_size / max(1, len(self.ring)))
 
     def uses_admission_gate(self) -> bool:
-        """Whether the gate moves: only where many share an endpoint; few avoid congestion by their limits."""
+        """Whether the gate adapts: only if many proxies share an endpoint; else their own limits suffice."""
         return not self._hook_limits and self.proxies_per_endpoint() > CONGESTION_PROXIES
 
     def record_answer(self, late: bool) -> None:
-        """Tell the gate of an answer, in time or late."""
+        """Report an answer, in time or late, to the admission gate, if it is in use."""
         if self.uses_admission_gate():
             self.admission_gate.record_answer(late)
 
     def endpoints_in_use(self, now_ms: float) -> list[Endpoint]:
-        """The first of the ring that are warm and not suspended, and those that warm up between them.
+        """The first `subset_size` usable warm endpoints of the ring, and those in slow start between them.
 
-        A spread over all endpoints of a large fleet would cost connections that they do not have, and would
-        show too little of each to tell a bad one.
+        Suspended and ejected endpoints are skipped. Using all endpoints of a large fleet would need more
+        connections than they can hold, and would give too few samples of each to detect a bad one.
         """
         used: list[Endpoint] = []
-        warm = 0
+        warm_count = 0
         for endpoint in self.ring:
             if not endpoint.suspended(now_ms) and endpoint.listed.name not in self._ejected:
                 used.append(endpoint)
-                warm += endpoint.warmed_up_share(now_ms, self._safety) >= 1
-                if warm == self.subset_size:
+                warm_count += endpoint.warmed_up_share(now_ms, self._safety) >= 1
+                if warm_count == self.subset_size:
                     break
         return used
 
@@ -92,16 +94,19 @@
         return any(e.warmed_up_share(now_ms, self._safety) >= 1 for e in self.ring)
 
     def slow_start_rate(self, now_ms: float, endpoint: Endpoint, warmed_up_share: float) -> float:
-        """Work a millisecond that an endpoint in slow start may be sent from here.
+        """The work per ms that this proxy may send to an endpoint in slow start.
 
-        What a warm endpoint gets from here is this proxy's part of what an endpoint can do; the other proxies
-        keep to theirs in the same way. With no warm one an endpoint is taken for a single core.
+        The rate is based on what this proxy sends to a warm endpoint, which is its part of an endpoint's
+        capacity; the other proxies do the same. Without a warm endpoint, the capacity of a single core is
+        assumed.
         """
         if self.has_warm_endpoint(now_ms):
-            part = self.work_rate.per_ms(now_ms) / max(1, self.subset_size)
+            rate = self.work_rate.per_ms(now_ms) / max(1, self.subset_size)
             if endpoint.saturation <= 1:
-                relative = min(1.0, endpoint.listed.weight / self._mean_weight) if self._mean_weight else 1.0
-                part *= SLOW_START_RELIEF * relative
+                relative_weight = (
+                    min(1.0, endpoint.listed.weight / self._mean_weight) if self._mean_weight else 1.0
+                )
+                rate *= SLOW_START_RELIEF * relative_weight
         else:
-            part = 1 / self.proxies_per_endpoint()
-        return SLOW_START_MARGIN * self._safety.slow_start_limit_multiple * warmed_up_share * part
+            rate = 1 / self.proxies_per_endpoint()
+        return SLOW_START_MARGIN * self._safety.slow_start_limit_multiple * warmed_up_share * rate
--- a/client_proxy/balancer/probing.py
+++ b/client_proxy/balancer/probing.py
@@ -1,4 +1,4 @@
-"""Load probes before the pick: draws endpoints, probes them, and sends to the best that has answered."""
+"""Load probes before the pick: draws endpoints, probes them, and sends to the best that answered."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from client_proxy.api.events import ProbeEnded
 from client_proxy.balancer.completion import RequestCompletion
 from client_proxy.balancer.endpoint import Endpoint
-from client_proxy.balancer.load_probe import MAX_PROBE_ROUNDS, LoadProbes
+from client_proxy.balancer.load_probe import MAX_PROBE_ROUNDS, LoadProbePolicy
 from client_proxy.balancer.pending_queue import PendingQueue
 from client_proxy.balancer.picker import Picker
 from client_proxy.balancer.pool import Pool
@@ -17,7 +17,7 @@
 from client_proxy.balancer.sender import Sender
 from client_proxy.balancer.state import BalancerState
 
-MAX_PROBE_DRAWS = 8  # from the pool, for the two endpoints of a round
+MAX_PROBE_DRAWS = 8  # random draws from the pool to find the endpoints of a round
 PROBES_PER_ROUND = 2
 
 
@@ -35,11 +35,11 @@
     ) -> None:
         self._state, self._guard, self._picker = state, guard, picker
         self._sender, self._queue, self._completion = sender, queue, completion
-        self._probes = LoadProbes(state.settings)
+        self._probe_policy = LoadProbePolicy(state.settings)
 
     def try_probe(self, request: Request) -> bool:
-        """Begin a round of probes; False: they are not worthwhile, or no endpoint can be drawn."""
-        return self._probes.worthwhile() and self._begin_round(request)
+        """Begin a round of probes; False: probes are not worthwhile, or no endpoint may be probed."""
+        return self._probe_policy.worthwhile() and self._begin_round(request)
 
     def _begin_round(self, request: Request) -> bool:
         pool = self._state.endpoint_set.local
@@ -55,11 +55,11 @@
             if not endpoint.probe_callbacks:
                 self._state.actions.append(Probe(endpoint.listed.name))
             endpoint.probe_callbacks.append(partial(self._probe_answered, request, endpoint))
-        self._state.timers.start_for(request, self._probes.timeout_ms(), self._end_round)
+        self._state.timers.start_for(request, self._probe_policy.timeout_ms(), self._end_round)
         return True
 
     def _draw(self, request: Request, pool: Pool) -> list[Endpoint]:
-        """At most two endpoints that the request has neither probed nor tried."""
+        """Draw up to two endpoints that were neither probed nor tried for this request."""
         now_ms, random = self._state.now_ms, self._state.random
         tried = [attempt.endpoint for attempt in request.attempts]
         drawn: list[Endpoint] = []
@@ -73,18 +73,18 @@
         return drawn
 
     def probe_ended(self, event: ProbeEnded) -> None:
-        """Take in the answer of an endpoint, or that there is none."""
+        """Handle the result of a load probe, with or without an answer."""
         endpoint = self._state.endpoint_set.endpoints.get(event.endpoint)
         if endpoint is None:
             return
-        endpoint.reported_in_flight = self._probes.reported_in_flight(event)
+        endpoint.reported_in_flight = self._probe_policy.reported_in_flight(event)
         endpoint.probed_ms = self._state.now_ms
         callbacks, endpoint.probe_callbacks = endpoint.probe_callbacks, []
         for callback in callbacks:
             callback()
 
     def _probe_answered(self, request: Request, endpoint: Endpoint) -> None:
-        """End the round when all have answered, or one is idle."""
+        """Count a probe's result; end the round when all probes have ended or an endpoint is idle."""
         if request.probes_in_flight and endpoint in request.probed[-PROBES_PER_ROUND:]:
             request.probes_in_flight -= 1
             if not request.probes_in_flight or endpoint.reported_in_flight == 0:
@@ -92,12 +92,12 @@
                 self._end_round(request)
 
     def _end_round(self, request: Request) -> None:
-        """Send to the best of the endpoints that have answered, or probe more if none of them is idle."""
+        """Send to the best endpoint that has answered; if none is idle, begin another round first."""
         request.probes_in_flight = 0
-        if self._completion.is_hopeless(request):
+        if self._completion.cannot_finish_in_time(request):
             self._completion.give_up(request)
             return
-        answered = self._answered(request)
+        answered = self._answered_candidates(request)
         found_idle = any(not endpoint.reported_in_flight for endpoint in answered)
         if not found_idle and request.probe_rounds < MAX_PROBE_ROUNDS and self._begin_round(request):
             return
@@ -109,9 +109,9 @@
         elif not self._sender.try_send(request):
             self._queue.add(request)
 
-    def _answered(self, request: Request) -> list[Endpoint]:
-        """The probed endpoints that have told their load lately and may take the request."""
-        since_ms = self._state.now_ms - self._probes.max_age_ms()
+    def _answered_candidates(self, request: Request) -> list[Endpoint]:
+        """The probed endpoints that have reported their load recently and may take the request."""
+        since_ms = self._state.now_ms - self._probe_policy.max_age_ms()
         return [
             endpoint
             for endpoint in request.probed
--- a/client_proxy/balancer/request.py
+++ b/client_proxy/balancer/request.py
@@ -1,4 +1,4 @@
-"""A request that is not over, and its attempts."""
+"""An unfinished request and its attempts."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 from client_proxy.balancer.backoff import BACKOFF_BASE_MS
 from client_proxy.balancer.endpoint import Endpoint
 
-# Of a request whose class is unknown, when it does not say either.
+# Assumed for a request that states no deadline or work and whose class is unknown.
 DEFAULT_DEADLINE_MS = 1000.0
 DEFAULT_WORK_MS = DEFAULT_DEADLINE_MS / 4
 
+# Outcomes after which the endpoint has certainly not executed the attempt.
 NEVER_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
@@ -23,18 +24,18 @@
 
     endpoint: Endpoint
     sent_ms: float
-    connection_idle_ms: float | None = None  # how long its connection had been idle; None: a new or busy one
+    connection_idle_ms: float | None = None  # idle time of its connection when it was sent; None: new or busy
     outcome: Outcome | None = None  # None: in flight
-    recorded_late: bool = False  # counted as late while it was in flight
+    recorded_late: bool = False  # the admission gate has counted it as late while it was in flight
 
     def may_have_executed(self) -> bool:
-        """Whether the endpoint may have acted on it."""
+        """Whether the endpoint may have executed the attempt."""
         return self.outcome not in NEVER_EXECUTED
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request of a client, from its arrival until nothing of it is in flight."""
+    """A client's request, from its arrival until it is answered and no attempt is in flight."""
 
     id: int
     request_class: RequestClass | None
@@ -44,16 +45,16 @@
     attempts: list[Attempt] = field(default_factory=list)
     attempts_in_flight: int = 0
     previous_backoff_ms: float = BACKOFF_BASE_MS
-    timer_token: int | None = None  # of its one pending timer
-    done: bool = False
-    streaming: bool = False
-    spilled_over: bool = False  # offered to remote endpoints
-    key: str | None = None  # of its queue, where its class asks for order
-    waits_for_key: bool = False
-    probed: list[Endpoint] = field(default_factory=list)  # for its next attempt
-    probe_rounds: int = 0
-    probes_in_flight: int = 0  # of the last round
-    retry_token_spent: bool = False  # on a retry that has not been sent yet
+    timer_token: int | None = None  # token of its one pending timer
+    done: bool = False  # answered, or its client disconnected
+    streaming: bool = False  # its answer has begun
+    spilled_over: bool = False  # its work was offered to the remote pool's gate
+    key: str | None = None  # key of its queue; None: its class requires no order
+    waits_for_key: bool = False  # held back by its key's queue
+    probed: list[Endpoint] = field(default_factory=list)  # endpoints probed for its next attempt
+    probe_rounds: int = 0  # rounds of probes for its next attempt
+    probes_in_flight: int = 0  # load probes of the last round without a result
+    retry_token_spent: bool = False  # paid for a retry that has not been sent yet
 
     @property
     def class_name(self) -> str:
@@ -61,22 +62,22 @@
         return self.request_class.name if self.request_class else ""
 
     def pick_context(self, now_ms: float) -> PickContext:
-        """What a hook is told of it."""
+        """The request's description for a policy hook."""
         failed_zones = tuple(attempt.endpoint.listed.zone for attempt in self.attempts)
         waited_ms = now_ms - self.first_request_ms
         return PickContext(self.request_class, failed_zones, self.expected_work, waited_ms)
 
     def is_idempotent(self) -> bool:
-        """Whether it may be sent again although an attempt may have been executed."""
+        """Whether it may be retried although an attempt may have been executed."""
         request_class = self.request_class
         return request_class is not None and request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
 
     def first_possible_execution(self) -> Attempt | None:
-        """The first of its attempts that an endpoint may have acted on."""
+        """The first of its attempts that an endpoint may have executed."""
         return next((attempt for attempt in self.attempts if attempt.may_have_executed()), None)
 
     def idempotency_end_ms(self) -> float:
-        """From when on the endpoints no longer deduplicate a retry of what may have been executed."""
+        """When endpoints stop deduplicating retries of the first possible execution; inf: no limit."""
         executed = self.first_possible_execution()
         request_class = self.request_class
         if (
@@ -88,14 +89,14 @@
         return executed.sent_ms + request_class.idempotency_window_ms
 
     def latency_objective_ms(self, request_class: RequestClass) -> float:
-        """The latency within which an answer earns the full weight of its class, given apart."""
+        """The latency within which an answer earns the full weight of `request_class`, the request's own."""
         stretched_ms = (
             request_class.latency_objective_ms + request_class.latency_objective_stretch * self.expected_work
         )
         return min(request_class.deadline_ms, stretched_ms)
 
     def useful_until_ms(self) -> float:
-        """From when on an answer earns nothing; sent later, it would be work for nobody on full endpoints."""
+        """The time after which an answer earns no weight, so that an attempt would only be wasted work."""
         request_class = self.request_class
         if request_class is None or request_class.late_weight_share or request_class.streamed:
             return self.deadline_ms
@@ -106,7 +107,7 @@
 def deduplicates_retries(
     request_class: RequestClass | None, executed_at: ListedEndpoint, candidate: ListedEndpoint
 ) -> bool:
-    """Whether the candidate is in the group that drops a retry of what may have run at `executed_at`."""
+    """Whether `candidate` would deduplicate a retry of what may have been executed at `executed_at`."""
     if (
         request_class is None
         or request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY
--- a/client_proxy/balancer/retry_budget.py
+++ b/client_proxy/balancer/retry_budget.py
@@ -1,8 +1,8 @@
-"""The token bucket that keeps retries to a share of the served answers."""
+"""The token bucket that limits retries to a share of the served answers."""
 
 from __future__ import annotations
 
-RETRY_BUDGET_CAPACITY = 100.0
+RETRY_BUDGET_CAPACITY = 100.0  # tokens; 10 retries
 RETRY_RATIO = 0.1  # retries add at most this share of the served answers
 
 
@@ -17,7 +17,7 @@
         self.tokens = min(RETRY_BUDGET_CAPACITY, self.tokens + 1)
 
     def withdraw(self) -> bool:
-        """Pay for one retry; False, and nothing paid, if there are too few tokens."""
+        """Withdraw the tokens of one retry; False, and nothing withdrawn, if there are too few."""
         cost = 1 / RETRY_RATIO
         if self.tokens < cost:
             return False
@@ -25,5 +25,5 @@
         return True
 
     def refund(self) -> None:
-        """Return the tokens of a retry that was paid for and never sent."""
+        """Return the tokens of a retry that was never sent."""
         self.tokens = min(RETRY_BUDGET_CAPACITY, self.tokens + 1 / RETRY_RATIO)
--- a/client_proxy/balancer/retrying.py
+++ b/client_proxy/balancer/retrying.py
@@ -1,4 +1,4 @@
-"""Retries: whether a failed request gets another attempt, and when."""
+"""Decides whether and when a failed request is retried."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     """Schedules the retries of requests, and gives up those that get none.
 
     Args:
-        state: shared with the other collaborators.
-        completion: ends the requests that get no retry.
-        dispatch: sends a request after its backoff.
+        state: the balancer's shared state.
+        completion: ends requests that are not retried.
+        dispatch: called with the request after its backoff.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
     def retry_or_end(self, request: Request) -> None:
         """Schedule a retry of a request whose last attempt has failed, or end it."""
         if request.attempts[-1].outcome is Outcome.UNUSABLE:
-            # No endpoint can use it; else it would be sent to one after the other.
+            # The fault is in the request itself, so a retry at another endpoint would fail as well.
             self._completion.fail(request)
             return
         may_retry = len(request.attempts) < self._max_attempts and request.is_idempotent()
@@ -37,7 +37,7 @@
             self._completion.give_up(request)
 
     def _schedule(self, request: Request) -> bool:
-        """Pay for a retry and start its backoff; False: no time, or no token, is left."""
+        """Withdraw a retry's tokens and start its backoff; False: time, attempt limit or budget forbid it."""
         state = self._state
         backoff = backoff_ms(request.previous_backoff_ms, state.random)
         wait_ms = min(backoff, request.useful_until_ms() - state.now_ms - DEADLINE_MARGIN_MS)
--- a/client_proxy/balancer/send_guard.py
+++ b/client_proxy/balancer/send_guard.py
@@ -1,4 +1,4 @@
-"""The guard that every send has to pass, whatever a hook or a learned limit says."""
+"""The send guard: the final check before every send, independent of hooks and learned limits."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SendGuard:
-    """Attempts, order, endpoint state, idempotency and slow start, in this order."""
+    """Checks number of attempts, order by key, endpoint state, idempotency and slow start, in this order."""
 
     def __init__(self, state: BalancerState) -> None:
         self._state = state
@@ -26,14 +26,14 @@
             return False
         if endpoint.listed.state is not EndpointState.READY:
             return False
-        if request.attempts and not self._may_execute(now_ms, request, endpoint):
+        if request.attempts and not self._is_safe_from_duplicates(now_ms, request, endpoint):
             return False
         return self.slow_start_allows(request, endpoint)
 
     def slow_start_allows(self, request: Request, endpoint: Endpoint) -> bool:
-        """Whether the endpoint is warm, or its credit is enough for the request's work."""
+        """Whether the endpoint is warm, or its credit and the slow-start limit permit the request's work."""
         if endpoint.listed.started_ms is None:
-            return True  # started a long time ago: most endpoints, so nothing is computed for them
+            return True  # started long ago, as most endpoints; returns early to save work
         now_ms, pool = self._state.now_ms, self._endpoint_set.pool_of(endpoint)
         if not self._slow_start.allows(now_ms, pool, endpoint, request.expected_work):
             return False
@@ -41,7 +41,7 @@
         return warm or self._endpoint_set.within_slow_start_limit(now_ms, endpoint)
 
     def _may_attempt(self, now_ms: float, request: Request) -> bool:
-        """Whether the request may have one more attempt now, wherever it goes."""
+        """Whether the request may have one more attempt now, at any endpoint."""
         limits = self._limits
         if request.done or request.streaming or len(request.attempts) >= limits.max_attempts:
             return False
@@ -52,8 +52,8 @@
         return not request.attempts or self._attempt_limiter.allows(now_ms)
 
     @staticmethod
-    def _may_execute(now_ms: float, request: Request, endpoint: Endpoint) -> bool:
-        """Whether no effect can happen twice, if an earlier attempt may have been executed."""
+    def _is_safe_from_duplicates(now_ms: float, request: Request, endpoint: Endpoint) -> bool:
+        """Whether the request cannot take effect twice, even if an earlier attempt was executed."""
         executed = request.first_possible_execution()
         if executed is not None and not request.is_idempotent():
             return False
--- a/client_proxy/balancer/sender.py
+++ b/client_proxy/balancer/sender.py
@@ -1,4 +1,4 @@
-"""Sends the attempts of requests: over the pools in their order, through the gates, past the guard."""
+"""Sends attempts: tries pools in order, subject to admission gates, policy hook and send guard."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Sender:
-    """Sends a request if an endpoint may take it now."""
+    """Finds an endpoint for a request, over all pools, and sends the request's next attempt to it."""
 
     def __init__(self, state: BalancerState, guard: SendGuard, selection: EndpointSelection) -> None:
         self._state, self._guard, self._selection = state, guard, selection
@@ -25,18 +25,18 @@
         return self._try_pools(request) or self._try_recovery_probe(request)
 
     def offer(self, request: Request, pool: Pool) -> None:
-        """Offer a request's work to the gate of a pool."""
+        """Offer a request's work to the admission gate of a pool."""
         gate = pool.admission_gate
         admitted_share = self._state.demand.admitted_share(request.class_name, gate.share)
         gate.offer(request.class_name, request.expected_work, admitted_share)
 
     def send_through_gate(self, request: Request, endpoint: Endpoint, pool: Pool) -> None:
-        """Send a request and take its work off what the pool's gate admits."""
+        """Send a request and charge its work to the pool's admission gate."""
         self.send(request, endpoint)
         pool.admission_gate.take(request.class_name, request.expected_work)
 
     def _try_recovery_probe(self, request: Request) -> bool:
-        """Send past the limits that were learned, but not past the guard, if that is due."""
+        """If a recovery probe is due, send despite the learned limits; the send guard still applies."""
         if request.attempts or not self._state.recovery_probe.due(self._state.now_ms):
             return False
         endpoint = self._selection.least_loaded(request)
@@ -51,7 +51,8 @@
         now_ms = self._state.now_ms
         context = request.pick_context(now_ms)
         if not hook.admits(now_ms, None, context):
-            # Endpoints that warm up pace themselves; they would be idle while the warm ones are full.
+            # Endpoints in slow start are limited by their own credit, and would otherwise be idle while the
+            # warm ones are full.
             zoned = bool(self._endpoint_set.zone_pools)
             return not zoned and self._try_pool(request, self._endpoint_set.local, only_slow_starting=True)
         if self._try_probe_target(request, hook, context):
@@ -61,7 +62,7 @@
         return self._try_local_then_remote(request)
 
     def _try_probe_target(self, request: Request, hook: BalancerHook, context: PickContext) -> bool:
-        """Send to the ejected endpoint that the hook wants to probe, if it names one."""
+        """Send to the ejected endpoint that the hook names as target of a recovery probe, if any."""
         name = hook.recovery_probe_target(self._state.now_ms, context)
         target = self._endpoint_set.endpoints.get(name)
         if target is None or not self._guard.may_send(request, target):
@@ -70,7 +71,7 @@
         return True
 
     def _try_zones(self, request: Request, hook: BalancerHook, context: PickContext) -> bool:
-        """Send to the first zone of the hook's order that may take it."""
+        """Send to the first zone, in the hook's order, that may take the request."""
         now_ms, pools = self._state.now_ms, self._endpoint_set.zone_pools
         order = [zone for zone in hook.zone_order(now_ms, context) if zone in pools] or list(pools)
         return any(
@@ -78,7 +79,7 @@
         )
 
     def _try_local_then_remote(self, request: Request) -> bool:
-        """To an endpoint of the own zone, where crossing zones is expensive; else to any."""
+        """Send to an endpoint of the local pool, or, if none may take the request, of the remote pool."""
         local, remote = self._endpoint_set.local, self._endpoint_set.remote
         if self._try_pool(request, local):
             return True
@@ -97,7 +98,7 @@
         return True
 
     def send(self, request: Request, endpoint: Endpoint) -> None:
-        """Send the request's next attempt; the caller has asked the guard."""
+        """Send the request's next attempt; the caller must have checked the send guard."""
         state, now_ms = self._state, self._state.now_ms
         pool = self._endpoint_set.pool_of(endpoint)
         if endpoint.warmed_up_share(now_ms, self._safety) < 1:
@@ -124,7 +125,7 @@
         state.actions.append(Send(request.id, endpoint.listed.name, timeout_ms, write_by_ms))
 
     def _usable_idle_ms(self, endpoint: Endpoint) -> float | None:
-        """How long the connection to be used was idle; one that was idle for too long is closed first."""
+        """Idle time of the connection to be used, in ms; None: new or busy. Closes one idle for too long."""
         connections, now_ms = self._state.idle_connections, self._state.now_ms
         idle_ms = connections.idle_for(endpoint, now_ms)
         if idle_ms is not None and connections.exceeds_safe_idle(idle_ms, now_ms):
@@ -141,9 +142,9 @@
             endpoint.reported_in_flight += 1
 
     def _record_late(self, request: Request) -> None:
-        """Count the last attempt as late while it is in flight; its end would have cancelled the timer.
+        """Count the last attempt as late; it is still in flight, since its end cancels this timer.
 
-        By time-outs alone congestion would be noticed a whole deadline after it began.
+        From time-outs alone, congestion would be noticed only a whole deadline after it began.
         """
         attempt = request.attempts[-1]
         attempt.recorded_late = True
--- a/client_proxy/balancer/state.py
+++ b/client_proxy/balancer/state.py
@@ -1,4 +1,4 @@
-"""What the collaborators of one balancer share."""
+"""The state that the parts of one balancer share."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class BalancerState:
-    """Time, learned figures, requests and actions of one balancer.
+    """Time, statistics, requests and pending actions of one balancer.
 
-    Only `now_ms` and `retry_budget` are ever replaced; all else is one object for the balancer's life, to
-    which the collaborators may hold references.
+    Only `now_ms` and `retry_budget` are ever replaced. Every other attribute stays the same object for the
+    balancer's lifetime, so other objects may hold references to it.
     """
 
     def __init__(self, settings: Settings, seed: int, hook: BalancerHook | None) -> None:
@@ -34,14 +34,14 @@
         self.hook = hook
         self.random = Random(seed)
         self.now_ms = float("-inf")
-        self.actions: list[Action] = []  # of the call under way
+        self.actions: list[Action] = []  # actions of the current call of `Balancer.handle`
         self.timers = Timers(self.actions)
-        self.requests: dict[int, Request] = {}  # that are not over
+        self.requests: dict[int, Request] = {}  # unfinished requests by id
         self.endpoint_set = EndpointSet(settings, hook)
         self.class_latencies = {cls.name: ClassLatency(cls) for cls in settings.classes}
         self.demand = ClassDemand(settings)
         self.key_order = KeyOrder(settings.safety.key_quiet_ms)
-        self.freed_keys: deque[str] = deque()  # whose next request may have its turn
+        self.freed_keys: deque[str] = deque()  # keys whose next request may be sent
         self.retry_budget = RetryBudget()
         self.attempt_limiter = AttemptLimiter(settings.safety.attempts)
         self.idle_connections = IdleConnections(settings.limits.connection_idle_timeout_ms)
--- a/client_proxy/balancer/timers.py
+++ b/client_proxy/balancer/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the balancer: actions that ask for them, and what to call when they fire."""
+"""The balancer's timers: requests them from the proxy and calls back when they fire."""
 
 from __future__ import annotations
 
@@ -9,9 +9,12 @@
 
 
 class Timers:
-    """Pending timers by token.
+    """Pending timers and their callbacks, by token.
 
-    The proxy can't unset a timer: one that was cancelled here fires all the same, and is ignored.
+    The proxy cannot cancel a timer: one cancelled here still fires, and is then ignored.
+
+    Args:
+        actions: the list to which the `SetTimer` actions are appended.
     """
 
     def __init__(self, actions: list[Action]) -> None:
@@ -23,14 +26,14 @@
         return len(self._callbacks)
 
     def start(self, delay_ms: float, callback: Callable[[], None]) -> int:
-        """Have `callback` called after `delay_ms`; returns the timer's token."""
+        """Call `callback` after `delay_ms`; returns the timer's token."""
         self._last_token += 1
         self._callbacks[self._last_token] = callback
         self._actions.append(SetTimer(delay_ms, self._last_token))
         return self._last_token
 
     def start_for(self, request: Request, delay_ms: float, callback: Callable[[Request], None]) -> None:
-        """Start a request's one timer."""
+        """Start the one timer of a request; `callback` is called with the request when it fires."""
 
         def fire() -> None:
             request.timer_token = None
@@ -45,7 +48,7 @@
             request.timer_token = None
 
     def fire(self, token: int) -> None:
-        """Call what a timer was started for, unless it was cancelled."""
+        """Call the callback of a timer, unless the timer was cancelled."""
         callback = self._callbacks.pop(token, None)
         if callback is not None:
             callback()
--- a/client_proxy/rates.py
+++ b/client_proxy/rates.py
@@ -1,4 +1,4 @@
-"""Measurements that decide nothing by themselves."""
+"""Smoothed rates, counts in sliding windows, pause durations and slow-start shares."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from client_proxy.api.settings import Safety
 
-SMOOTHING = 0.2  # of exponentially smoothed figures: about the last ten samples count
-MAX_DOUBLINGS = 16
+SMOOTHING = 0.2  # weight of a new sample in exponential smoothing: about the last ten samples count
+MAX_DOUBLINGS = 16  # of a pause; avoids overflow
 
 
 class WorkRate:
-    """How much work is sent in a time, smoothed over `span_ms`."""
+    """The rate at which work is sent, smoothed over `span_ms`."""
 
     def __init__(self, span_ms: float) -> None:
         self._span_ms = span_ms
@@ -23,52 +23,52 @@
         self._decayed_ms = now_ms
 
     def add(self, now_ms: float, work: float) -> None:
-        """Count work that is sent now."""
+        """Record work that is sent now."""
         self._decay(now_ms)
         self._sum += work
 
     def per_ms(self, now_ms: float) -> float:
-        """Work a millisecond."""
+        """The smoothed rate now, in work per ms."""
         self._decay(now_ms)
         return self._sum / self._span_ms
 
 
-MAX_COUNTED_EVENTS = 4096  # by one count: settings may state a window of years
+MAX_COUNTED_EVENTS = 4096  # per `WindowCount`; bounds its memory, since settings may state a window of years
 
 
 class WindowCount:
-    """How many events fell into the last `window_ms`, `MAX_COUNTED_EVENTS` at the most."""
+    """Counts the events of the last `window_ms`, up to `MAX_COUNTED_EVENTS`."""
 
     def __init__(self, window_ms: float) -> None:
         self._window_ms = window_ms
         self._times_ms: deque[float] = deque(maxlen=MAX_COUNTED_EVENTS)
 
     def count(self, now_ms: float) -> int:
-        """Events in the window that ends now."""
+        """The number of events in the window that ends now."""
         while self._times_ms and self._times_ms[0] <= now_ms - self._window_ms:
             self._times_ms.popleft()
         return len(self._times_ms)
 
     def add(self, now_ms: float) -> int:
-        """Count an event now; returns the count with it."""
+        """Record an event now; returns the number of events in the window, this one included."""
         self._times_ms.append(now_ms)
         return self.count(now_ms)
 
 
 def doubled_pause_ms(failures: int, first_ms: float, max_ms: float) -> float:
-    """The pause after so many failures: doubled with each, up to `max_ms`."""
+    """The pause after a number of failures in a row: `first_ms`, doubled per failure, up to `max_ms`."""
     return min(max_ms, first_ms * 2.0 ** min(failures - 1, MAX_DOUBLINGS))
 
 
 def warmed_up_share(now_ms: float, started_ms: float | None, safety: Safety) -> float:
-    """The share of its full capacity that an endpoint surely has by now.
+    """The share of its full capacity that an endpoint has at least by now.
 
     Args:
         now_ms: the time.
-        started_ms: when its process started; None: a long time ago.
-        safety: how long slow start lasts, and with what share it begins.
+        started_ms: when its process started; None: so long ago that it is warm.
+        safety: states how long slow start lasts and at which share it begins.
     """
     if started_ms is None or safety.slow_start_ms <= 0:
         return 1.0
-    age = max(0.0, now_ms - started_ms) / safety.slow_start_ms
-    return min(1.0, safety.slow_start_share + (1 - safety.slow_start_share) * age)
+    elapsed_share = max(0.0, now_ms - started_ms) / safety.slow_start_ms
+    return min(1.0, safety.slow_start_share + (1 - safety.slow_start_share) * elapsed_share)
--- a/client_proxy/recovery_probe.py
+++ b/client_proxy/recovery_probe.py
@@ -1,35 +1,35 @@
-"""When a request is sent although every limit says no, to find out whether endpoints have recovered."""
+"""Decides when to send a request despite all limits, to find out whether endpoints have recovered."""
 
 from __future__ import annotations
 
-# With no attempt for so long, while so many requests arrived, one is sent.
+# One request is sent after this time without any attempt, if at least this many requests arrived in it.
 RECOVERY_PROBE_AFTER_MS, RECOVERY_PROBE_REQUESTS = 2500.0, 5
 
 
 class RecoveryProbe:
-    """Counts the requests that arrived since the last attempt.
+    """Counts the requests that have arrived since the last attempt.
 
-    Limits cut by rejections, slow answers and time-outs would reject everybody for seconds after the
-    endpoints have recovered, since only attempts show it. The cost: while endpoints are full, each proxy
-    sends them a request every few seconds that its limits would reject.
+    Limits that were cut by rejections, slow answers and time-outs would reject all requests for seconds after
+    the endpoints have recovered, since only an attempt can show the recovery. The cost: while endpoints are
+    full, each proxy sends them a request every few seconds that its limits would have rejected.
     """
 
     def __init__(self) -> None:
         self._unsent_requests = 0
-        self._since_ms = 0.0  # when the first of them arrived
+        self._since_ms = 0.0  # when the first of these requests arrived
 
     def request_arrived(self, now_ms: float) -> None:
-        """Count a request."""
+        """Record the arrival of a request."""
         if not self._unsent_requests:
             self._since_ms = now_ms
         self._unsent_requests += 1
 
     def attempt_sent(self) -> None:
-        """Begin anew after an attempt."""
+        """Restart the count after an attempt."""
         self._unsent_requests = 0
 
     def due(self, now_ms: float) -> bool:
-        """Whether a request should be sent whatever the limits say."""
+        """Whether a request should be sent now despite the limits."""
         return (
             self._unsent_requests >= RECOVERY_PROBE_REQUESTS
             and now_ms - self._since_ms >= RECOVERY_PROBE_AFTER_MS
--- a/tests/balancer/test_large_fleets.py
+++ b/tests/balancer/test_large_fleets.py
@@ -73,7 +73,9 @@
     known["c0"].saturation = 1.01
     assert 1.9 < usual / rate("c0") < 2.1
     # Never past the push that it must not exceed, at the warm servers' rate.
-    push = LARGE.safety.slow_start_limit_multiple * 0.5 * own.work_rate.per_ms(driver.now_ms) / own.subset_size
+    push = (
+        LARGE.safety.slow_start_limit_multiple * 0.5 * own.work_rate.per_ms(driver.now_ms) / own.subset_size
+    )
     assert usual <= 2 / 3 * push * 1.001
 
 
--- a/tests/proxy/test_idle_connections.py
+++ b/tests/proxy/test_idle_connections.py
@@ -118,7 +118,7 @@
     for _ in range(2):
         driver.wait(2000)
         server = driver.balancer.endpoint_set.endpoints["s1"]
-        died = driver.balancer.idle_connections.lost_idle(
+        died = driver.balancer.idle_connections.detect_idle_loss(
             Attempt(server, driver.now_ms, 2000.0, Outcome.TIMEOUT), 500.0, 25.0, False, driver.now_ms
         )
         assert not died
