--- a/tests/balancer/__init__.py
+++ b/tests/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the balancer."""
+"""Tests of the balancer package."""
--- a/tests/balancer/test_growth.py
+++ b/tests/balancer/test_growth.py
@@ -1,4 +1,4 @@
-"""A long day: hosts, ids, keys and connections that are ever new leave nothing behind."""
+"""Memory stays bounded over a long run with ever new server names, request ids, keys and connections."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.proxy.sockets import KEYED_CLASS, UNSAFE_CLASS, Client, Host, entry, proxy, run, until
 
 
-def test_hosts_under_ever_new_names_at_one_address() -> None:
+def test_no_state_is_kept_of_servers_replaced_under_new_names_at_one_address() -> None:
     async def test() -> None:
         host = Host("h0")
         async with proxy(host) as p:
@@ -27,18 +27,20 @@
                 )
                 if number % 100 == 0:
                     assert (await client.ask())[2] == b"from " + host.name.encode()
-            membership = p.engine.balancer.endpoint_set
+            endpoint_set = p.engine.balancer.endpoint_set
             for table in (p.directory.entries, p.directory.addresses, p.upstream.endpoints):
                 assert set(table) == {host.name}
-            assert set(membership.endpoints) == {host.name}
-            assert len(membership.local.ring) == 1
+            assert set(endpoint_set.endpoints) == {host.name}
+            assert len(endpoint_set.local.ring) == 1
             await until(lambda: p.upstream.open_connections == host.open == 1)
             client.close()
 
     run(test())
 
 
-def test_requests_and_connections_that_are_ever_new(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_state_is_kept_of_finished_requests_and_closed_connections(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(listener, "SWEEP_S", 0.01)
 
     async def test() -> None:
@@ -60,7 +62,7 @@
     run(test())
 
 
-def test_keys_that_are_ever_new() -> None:
+def test_no_state_is_kept_of_keys_without_requests() -> None:
     ordered = replace(SAFE, name="ordered", in_order=True)
     safety = replace(SETTINGS.safety, key_quiet_ms=0.0)
     balancer = Balancer(replace(SETTINGS, classes=(ordered,), safety=safety), 1)
--- a/tests/balancer/test_key_order_and_attempt_limit.py
+++ b/tests/balancer/test_key_order_and_attempt_limit.py
@@ -1,4 +1,7 @@
-"""Rules 5 and 6, case by case: turns by key, and the limit on further attempts in a window."""
+"""Order of requests by key, and the limit on attempts beyond each request's first in a time window.
+
+These are rules 5 and 6 of the safety rules.
+"""
 
 from dataclasses import replace
 
@@ -11,24 +14,28 @@
 from tests.driver import SAFE, SETTINGS, Driver, endpoint
 
 IN_ORDER = replace(SAFE, name="ordered", in_order=True)
-ALSO = replace(IN_ORDER, name="also ordered", priority_weight=9)
-ORDERED = replace(
+ALSO_IN_ORDER = replace(IN_ORDER, name="also ordered", priority_weight=9)
+ORDERED_SETTINGS = replace(
     SETTINGS,
-    classes=(SAFE, IN_ORDER, ALSO),
+    classes=(SAFE, IN_ORDER, ALSO_IN_ORDER),
     safety=replace(SETTINGS.safety, key_quiet_ms=60),
 )
 LIMIT = AttemptLimit(window_ms=1000, share=0.5, free=1)
 
 
-def arrive(driver: Driver, key: str | None = "k", class_name: str = "ordered") -> int:
+def send_request(driver: Driver, key: str | None = "k", class_name: str = "ordered") -> int:
     driver.last_id += 1
     driver.tell(RequestArrived(driver.last_id, class_name, key=key))
     return driver.last_id
 
 
-def test_one_key_one_at_a_time_in_order_of_arrival_over_all_classes() -> None:
-    driver = Driver(ORDERED)
-    first, second, third = arrive(driver), arrive(driver, class_name="also ordered"), arrive(driver)
+def test_requests_of_one_key_are_sent_one_at_a_time_in_order_of_arrival_over_all_classes() -> None:
+    driver = Driver(ORDERED_SETTINGS)
+    first, second, third = (
+        send_request(driver),
+        send_request(driver, class_name="also ordered"),
+        send_request(driver),
+    )
     assert list(driver.sent) == [first]
     driver.end(first, Outcome.OK)
     assert list(driver.sent) == [first, second]
@@ -36,21 +43,26 @@
     assert list(driver.sent) == [first, second, third]
 
 
-def test_other_keys_no_key_and_other_classes_are_not_bound() -> None:
-    driver = Driver(ORDERED)
-    arrive(driver)
-    free = [arrive(driver, "other"), arrive(driver, None), arrive(driver, None), arrive(driver, "k", "safe")]
+def test_requests_with_another_key_no_key_or_an_unordered_class_do_not_wait() -> None:
+    driver = Driver(ORDERED_SETTINGS)
+    send_request(driver)
+    free = [
+        send_request(driver, "other"),
+        send_request(driver, None),
+        send_request(driver, None),
+        send_request(driver, "k", "safe"),
+    ]
     assert set(free) <= set(driver.sent)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_key_rests_after_an_attempt_that_may_still_run(outcome: Outcome) -> None:
-    driver = Driver(ORDERED)
+def test_key_is_quiet_after_an_attempt_that_may_still_be_executing(outcome: Outcome) -> None:
+    driver = Driver(ORDERED_SETTINGS)
     driver.balancer.retry_budget.tokens = 0
-    first, second = arrive(driver), arrive(driver)
+    first, second = send_request(driver), send_request(driver)
     assert driver.end(first, outcome) == [Fail(first)]
     driver.wait(59)
-    late = arrive(driver)
+    late = send_request(driver)
     assert list(driver.sent) == [first]
     driver.wait(2)
     assert list(driver.sent) == [first, second]
@@ -58,26 +70,26 @@
     assert list(driver.sent) == [first, second, late]
 
 
-def test_no_rest_after_an_outcome_that_is_sure() -> None:
-    driver = Driver(ORDERED)
+def test_key_is_not_quiet_after_an_attempt_that_has_certainly_ended() -> None:
+    driver = Driver(ORDERED_SETTINGS)
     driver.balancer.retry_budget.tokens = 0
-    first, second = arrive(driver), arrive(driver)
+    first, second = send_request(driver), send_request(driver)
     driver.end(first, Outcome.ERROR)
     assert list(driver.sent) == [first, second]
 
 
-def test_who_has_the_turn_keeps_it_for_its_retry() -> None:
-    driver = Driver(ORDERED)
-    first, second = arrive(driver), arrive(driver)
+def test_request_keeps_its_turn_for_its_retry() -> None:
+    driver = Driver(ORDERED_SETTINGS)
+    first, second = send_request(driver), send_request(driver)
     driver.end(first, Outcome.RESET)
     driver.wait(301)
     assert len(driver.sent[first]) == 2
     assert second not in driver.sent
 
 
-def test_the_next_waits_until_each_attempt_of_one_that_is_over_has_its_outcome() -> None:
-    driver = Driver(ORDERED)
-    first, second = arrive(driver), arrive(driver)
+def test_next_request_waits_until_all_attempts_of_a_disconnected_one_have_ended() -> None:
+    driver = Driver(ORDERED_SETTINGS)
+    first, second = send_request(driver), send_request(driver)
     driver.tell(ClientDisconnected(first))
     driver.wait(100)
     assert second not in driver.sent
@@ -85,73 +97,73 @@
     assert second in driver.sent
 
 
-def test_refused_out_of_turn_it_leaves_the_line() -> None:
-    driver = Driver(ORDERED)
-    first, second, third = arrive(driver), arrive(driver), arrive(driver)
+def test_request_that_ends_before_its_turn_leaves_the_queue() -> None:
+    driver = Driver(ORDERED_SETTINGS)
+    first, second, third = send_request(driver), send_request(driver), send_request(driver)
     driver.tell(ClientDisconnected(second))
     driver.end(first, Outcome.OK)
     assert list(driver.sent) == [first, third]
-    waiting = arrive(driver)
+    waiting = send_request(driver)
     assert driver.wait(500) == [Reject(waiting)]
 
 
-def test_a_long_line_that_has_expired_is_answered_in_one_go() -> None:
-    driver = Driver(ORDERED)
-    waiting = [arrive(driver) for _ in range(3000)]
-    driver.now_ms += 2000  # a stall: no timer came
+def test_long_queue_of_expired_requests_is_rejected_in_one_call() -> None:
+    driver = Driver(ORDERED_SETTINGS)
+    waiting = [send_request(driver) for _ in range(3000)]
+    driver.now_ms += 2000  # the process was stalled, so no timer fired
     actions = driver.tell(AttemptEnded(waiting[0], 0, Outcome.OK, 2000, True))
     assert actions == [Reject(i) for i in waiting[1:]]
 
 
 def test_idle_keys_are_forgotten() -> None:
-    driver = Driver(ORDERED)
+    driver = Driver(ORDERED_SETTINGS)
     for i in range(50):
-        request = arrive(driver, f"k{i}")
+        request = send_request(driver, f"k{i}")
         driver.tell(ClientDisconnected(request))
         if request in driver.sent:
             driver.end(request, Outcome.RESET if i % 2 else Outcome.OK)
-    assert driver.balancer.key_order._queues  # some rest
+    assert driver.balancer.key_order._queues  # keys in their quiet time are kept
     driver.wait(61)
     assert not driver.balancer.key_order._queues
 
 
-def test_attempt_budget_counts_a_sliding_window_with_its_edges() -> None:
-    budget = AttemptLimiter(LIMIT)
-    assert budget.allows(0)
-    budget.attempt_sent(0)
-    assert not budget.allows(0)
-    budget.request_arrived(100)
-    budget.request_arrived(100)
-    assert budget.allows(100)
-    budget.attempt_sent(100)
-    assert not budget.allows(1000)  # the attempt at 0 is just inside
-    assert budget.allows(1000.1)
-    assert not budget.allows(1100)  # at the edge the attempt counts and the requests do not
-    assert budget.allows(1100.1)
+def test_attempt_limit_counts_a_sliding_window_with_its_edges() -> None:
+    limiter = AttemptLimiter(LIMIT)
+    assert limiter.allows(0)
+    limiter.attempt_sent(0)
+    assert not limiter.allows(0)
+    limiter.request_arrived(100)
+    limiter.request_arrived(100)
+    assert limiter.allows(100)
+    limiter.attempt_sent(100)
+    assert not limiter.allows(1000)  # the attempt at 0 is exactly at the edge and counts
+    assert limiter.allows(1000.1)
+    assert not limiter.allows(1100)  # at the edge the attempt at 100 counts, the requests at 100 do not
+    assert limiter.allows(1100.1)
 
 
 def test_attempt_not_sent_does_not_count() -> None:
-    budget = AttemptLimiter(LIMIT)
-    budget.attempt_sent(5)
-    assert not budget.allows(6)
-    budget.attempt_not_sent(5)
-    assert budget.allows(6)
+    limiter = AttemptLimiter(LIMIT)
+    limiter.attempt_sent(5)
+    assert not limiter.allows(6)
+    limiter.attempt_not_sent(5)
+    assert limiter.allows(6)
 
 
-def test_without_the_setting_there_is_no_limit() -> None:
-    budget = AttemptLimiter(None)
-    for at in range(100):
-        budget.attempt_sent(at)
-        assert budget.allows(at)
+def test_without_the_setting_attempts_are_unlimited() -> None:
+    limiter = AttemptLimiter(None)
+    for now_ms in range(100):
+        limiter.attempt_sent(now_ms)
+        assert limiter.allows(now_ms)
 
 
-def limited(limit: AttemptLimit) -> Driver:
+def driver_with_attempt_limit(limit: AttemptLimit) -> Driver:
     return Driver(replace(SETTINGS, safety=replace(SETTINGS.safety, attempts=limit)))
 
 
-def test_attempt_budget_stops_retries_and_leaves_the_tokens() -> None:
-    """Danger: a full token bucket spends more in a window than the rule allows."""
-    driver = limited(AttemptLimit(window_ms=5000, share=0, free=1))
+def test_attempt_limit_prevents_a_retry_without_withdrawing_tokens() -> None:
+    """A full retry budget alone would permit more retries in a window than the attempt limit does."""
+    driver = driver_with_attempt_limit(AttemptLimit(window_ms=5000, share=0, free=1))
     first, _ = driver.request()
     driver.end(first, Outcome.ERROR)
     driver.wait(301)
@@ -162,8 +174,8 @@
     assert driver.balancer.retry_budget.tokens == tokens
 
 
-def test_two_retries_waiting_for_one_place_and_the_tokens_of_the_other_come_back() -> None:
-    driver = limited(AttemptLimit(window_ms=5000, share=0, free=1))
+def test_of_two_pending_retries_within_a_limit_of_one_the_unsent_one_is_refunded() -> None:
+    driver = driver_with_attempt_limit(AttemptLimit(window_ms=5000, share=0, free=1))
     both = [driver.request()[0], driver.request()[0]]
     for request in both:
         driver.end(request, Outcome.ERROR)
@@ -172,7 +184,7 @@
     assert driver.balancer.retry_budget.tokens == 90
 
 
-def test_tokens_of_a_retry_that_the_client_did_not_wait_for_come_back() -> None:
+def test_tokens_of_a_pending_retry_are_refunded_when_the_client_disconnects() -> None:
     driver = Driver()
     request, _ = driver.request()
     driver.end(request, Outcome.ERROR)
@@ -181,29 +193,31 @@
     assert driver.balancer.retry_budget.tokens == 100
 
 
-def test_every_arrival_counts_as_taken_and_the_count_starts_empty() -> None:
-    driver = limited(AttemptLimit(window_ms=5000, share=0.5, free=0))
+def test_attempt_limit_counts_every_arrival_and_starts_with_none() -> None:
+    driver = driver_with_attempt_limit(AttemptLimit(window_ms=5000, share=0.5, free=0))
     request, _ = driver.request()
     assert driver.end(request, Outcome.ERROR) == [Fail(request)]
-    driver.request(deadline_ms=driver.now_ms - 1)  # refused at once
+    driver.request(deadline_ms=driver.now_ms - 1)  # rejected at once
     request, _ = driver.request()
     driver.end(request, Outcome.ERROR)
     driver.wait(301)
     assert len(driver.sent[request]) == 2
 
 
-def test_guard_alone_keeps_order_and_budget() -> None:
-    settings = replace(ORDERED, safety=replace(ORDERED.safety, attempts=AttemptLimit(1000, 0, 0)))
+def test_guard_alone_enforces_key_order_and_attempt_limit() -> None:
+    settings = replace(
+        ORDERED_SETTINGS, safety=replace(ORDERED_SETTINGS.safety, attempts=AttemptLimit(1000, 0, 0))
+    )
     driver = Driver(settings, [endpoint("s1"), endpoint("s2")])
     server = driver.balancer.endpoint_set.endpoints["s1"]
-    first, second = arrive(driver), arrive(driver)
+    first, second = send_request(driver), send_request(driver)
     assert not driver.balancer.guard.may_send(driver.balancer.requests[second], server)
-    held = driver.balancer.requests[first]
-    held.attempts[0].outcome, held.attempts_in_flight = Outcome.REJECTED, 0
-    assert not driver.balancer.guard.may_send(held, server)
+    request = driver.balancer.requests[first]
+    request.attempts[0].outcome, request.attempts_in_flight = Outcome.REJECTED, 0
+    assert not driver.balancer.guard.may_send(request, server)
 
 
-def test_settings_are_optional() -> None:
+def test_attempt_limit_and_quiet_time_are_off_by_default() -> None:
     assert Safety().attempts is None
     assert Safety().key_quiet_ms == 0
     driver = Driver()
--- a/tests/balancer/test_load_probe.py
+++ b/tests/balancer/test_load_probe.py
@@ -1,4 +1,4 @@
-"""Looks: the drawn servers are asked for their load before the pick."""
+"""Load probes: drawn servers are asked for their load before the pick."""
 
 from dataclasses import replace
 
@@ -9,7 +9,7 @@
 from client_proxy.api.settings import Settings
 from tests.driver import SETTINGS, Driver, delta, endpoint
 
-LOOKS = replace(
+PROBE_SETTINGS = replace(
     SETTINGS,
     limits=replace(SETTINGS.limits, probes=True),
     report_fields=("queue", "inflight"),
@@ -18,112 +18,114 @@
 FLEET = [endpoint(f"s{i}") for i in range(6)]
 
 
-def looking(settings: Settings = LOOKS) -> Driver:
+def probing_driver(settings: Settings = PROBE_SETTINGS) -> Driver:
     driver = Driver(settings, FLEET)
-    for _ in range(20):  # the trip is learned
+    for _ in range(20):  # lets the balancer learn the round-trip time
         driver.tell(ProbeEnded("s0", Outcome.OK, 1.0, (0.0, 0.0)))
     return driver
 
 
-def probed(actions: list[Action]) -> list[str]:
+def probed_servers(actions: list[Action]) -> list[str]:
     return [a.endpoint for a in actions if isinstance(a, Probe)]
 
 
-def tell(driver: Driver, name: str, held: float | None) -> list[Action]:
-    return driver.tell(ProbeEnded(name, Outcome.OK, 1.0, None if held is None else (0.0, held)))
+def report_load(driver: Driver, name: str, in_flight: float | None) -> list[Action]:
+    return driver.tell(ProbeEnded(name, Outcome.OK, 1.0, None if in_flight is None else (0.0, in_flight)))
 
 
-def test_the_idle_one_of_two_drawn_gets_the_request_at_once() -> None:
-    """Danger: own in flight says next to nothing of a load that hundreds of proxies share."""
-    driver = looking()
+def test_idle_server_of_the_two_drawn_gets_the_request_at_once() -> None:
+    """With hundreds of proxies, the own requests in flight tell almost nothing about a server's load."""
+    driver = probing_driver()
     request, actions = driver.request()
-    one, two = probed(actions)
+    one, two = probed_servers(actions)
     assert driver.sent == {}
-    assert tell(driver, one, 3) == []
-    assert [a.endpoint for a in tell(driver, two, 0) if isinstance(a, Send)] == [two]
+    assert report_load(driver, one, 3) == []
+    assert [a.endpoint for a in report_load(driver, two, 0) if isinstance(a, Send)] == [two]
     assert driver.sent[request] == [two]
 
 
-def test_two_that_are_busy_lead_to_another_pair_and_the_best_of_all_is_sent_to() -> None:
-    driver = looking()
+def test_while_all_probed_servers_are_busy_more_are_probed_and_the_best_is_used() -> None:
+    driver = probing_driver()
     request, actions = driver.request()
-    seen: list[str] = []
-    while names := probed(actions):
-        assert not set(names) & set(seen)
-        seen += names
+    probed: list[str] = []
+    while names := probed_servers(actions):
+        assert not set(names) & set(probed)
+        probed += names
         for name in names:
-            actions = tell(driver, name, 1.0 if name == seen[1] else 4.0)
-    assert len(seen) == 6
-    assert driver.sent[request] == [seen[1]]
+            actions = report_load(driver, name, 1.0 if name == probed[1] else 4.0)
+    assert len(probed) == 6
+    assert driver.sent[request] == [probed[1]]
 
 
-def test_no_report_from_one_that_answers_looks_counts_as_busy() -> None:
-    """Danger: servers stop reporting while they are busy; taken for idle, they would draw everything."""
-    driver = looking()
+def test_probe_answer_without_a_report_counts_as_busy() -> None:
+    """Servers may stop reporting while they are busy; taken for idle, they would attract all requests."""
+    driver = probing_driver()
     request, actions = driver.request()
-    one, two = probed(actions)
-    tell(driver, one, None)
-    tell(driver, two, 1.0)
+    one, two = probed_servers(actions)
+    report_load(driver, one, None)
+    report_load(driver, two, 1.0)
     assert request not in driver.sent
 
 
-def test_lost_looks_do_not_hold_the_request_up() -> None:
-    driver = looking()
+def test_lost_probes_do_not_block_the_request() -> None:
+    driver = probing_driver()
     request, _ = driver.request()
     driver.wait(40)
     assert len(driver.sent[request]) == 1
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_nothing_is_sent_to_a_drawn_server_that_goes_meanwhile(state: EndpointState) -> None:
-    """Danger: drawn while it was ready, and told to hold little, it drains or is gone before the pick."""
-    driver = Driver(LOOKS, FLEET[:2])
+def test_nothing_is_sent_to_a_probed_server_that_drains_or_is_gone_before_the_pick(
+    state: EndpointState,
+) -> None:
+    """A server that was ready when drawn, with little load, may drain or be gone before the pick."""
+    driver = Driver(PROBE_SETTINGS, FLEET[:2])
     request, actions = driver.request()
-    one, two = probed(actions)
-    tell(driver, one, 1.0)
+    one, two = probed_servers(actions)
+    report_load(driver, one, 1.0)
     driver.tell(delta(endpoint(one, state=state)))
     driver.wait(50)
     assert driver.sent[request] == [two]
 
 
-def test_client_that_left_while_looking_gets_nothing_more() -> None:
-    driver = looking()
+def test_client_that_disconnects_during_probes_gets_nothing_more() -> None:
+    driver = probing_driver()
     request, actions = driver.request()
     driver.tell(ClientDisconnected(request))
-    for name in probed(actions):
-        assert tell(driver, name, 0) == []
+    for name in probed_servers(actions):
+        assert report_load(driver, name, 0) == []
     assert driver.wait(100) == []
     assert not driver.balancer.requests
 
 
-def test_next_to_no_time_left_is_given_up_unsent() -> None:
-    """Danger: looked at past its deadline, a request is answered too late."""
-    driver = looking()
+def test_request_with_almost_no_time_left_is_rejected_unsent() -> None:
+    """A request probed for beyond its deadline would be answered too late."""
+    driver = probing_driver()
     request, actions = driver.request(deadline_ms=driver.now_ms + 0.8)
     assert actions == [Reject(request)]
     request, actions = driver.request(deadline_ms=driver.now_ms + 64)
-    driver.now_ms += 60  # a stall
-    assert tell(driver, probed(actions)[0], 0) == [Reject(request)]
+    driver.now_ms += 60  # the process was stalled
+    assert report_load(driver, probed_servers(actions)[0], 0) == [Reject(request)]
 
 
-def test_looks_only_where_they_are_allowed_cheap_and_quick() -> None:
-    dear = replace(LOOKS.prices, probe=0.05)
+def test_probes_are_sent_only_if_allowed_cheap_and_fast() -> None:
+    expensive_probes = replace(PROBE_SETTINGS.prices, probe=0.05)
     for settings in (
-        replace(LOOKS, report_fields=("queue",)),
-        replace(LOOKS, prices=dear),
-        replace(LOOKS, limits=replace(LOOKS.limits, probes=False)),
+        replace(PROBE_SETTINGS, report_fields=("queue",)),
+        replace(PROBE_SETTINGS, prices=expensive_probes),
+        replace(PROBE_SETTINGS, limits=replace(PROBE_SETTINGS.limits, probes=False)),
     ):
-        assert not probed(Driver(settings, FLEET).request()[1])
-    slow = looking()
+        assert not probed_servers(Driver(settings, FLEET).request()[1])
+    slow = probing_driver()
     for _ in range(20):
         slow.tell(ProbeEnded("s0", Outcome.OK, 90.0, (0.0, 0.0)))
-    assert not probed(slow.request()[1])
+    assert not probed_servers(slow.request()[1])
 
 
-def test_guarded_retry_after_a_look() -> None:
-    driver = looking()
+def test_send_guard_applies_to_a_retry_after_a_probe() -> None:
+    driver = probing_driver()
     request, actions = driver.request("unsafe")
-    tell(driver, probed(actions)[0], 0)
+    report_load(driver, probed_servers(actions)[0], 0)
     sent = driver.sent[request]
     assert driver.tell(AttemptEnded(request, 0, Outcome.TIMEOUT, 500)) == [Fail(request)]
     assert len(sent) == 1
--- a/tests/balancer/test_mechanism.py
+++ b/tests/balancer/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The ordinary path: budget, backoff, two draws, deadline."""
+"""The usual path of a request: retry budget, backoff, pick of two random endpoints, deadline."""
 
 from dataclasses import replace
 from random import Random
@@ -22,7 +22,7 @@
 from tests.driver import SAFE, SETTINGS, Driver, delta, endpoint, full
 
 
-def test_budget_starts_full_pays_ten_retries_and_earns_one_a_success() -> None:
+def test_full_budget_permits_ten_retries_and_ten_successes_earn_one() -> None:
     budget = RetryBudget()
     assert [budget.withdraw() for _ in range(11)] == [True] * 10 + [False]
     for _ in range(9):
@@ -50,7 +50,7 @@
     assert max(backoff_ms(1e9, random) for _ in range(10)) == 30_000
 
 
-def test_retry_waits_by_the_jitter_and_goes_elsewhere() -> None:
+def test_retry_waits_for_its_backoff_and_goes_to_another_server() -> None:
     driver = Driver()
     request, _ = driver.request()
     driver.end(request, Outcome.ERROR)
@@ -60,7 +60,7 @@
     assert first != second
 
 
-def test_retry_with_nowhere_else_goes_back() -> None:
+def test_retry_goes_to_the_same_server_if_there_is_no_other() -> None:
     driver = Driver(endpoints=[endpoint("only")])
     request, _ = driver.request()
     driver.end(request, Outcome.RESET)
@@ -68,7 +68,7 @@
     assert driver.sent[request] == ["only", "only"]
 
 
-def test_attempt_limit_ends_it() -> None:
+def test_request_fails_at_the_maximum_number_of_attempts() -> None:
     driver = Driver(replace(SETTINGS, limits=replace(SETTINGS.limits, max_attempts=2)))
     request, _ = driver.request()
     driver.end(request, Outcome.ERROR)
@@ -99,19 +99,19 @@
         assert driver.end(request, Outcome.ERROR) == [Fail(request)]
 
 
-def test_gives_up_with_refuse_if_no_attempt_ran() -> None:
+def test_request_is_rejected_if_no_attempt_was_executed() -> None:
     driver = Driver()
     request, _ = driver.request("unsafe")
     assert driver.end(request, Outcome.REJECTED) == [Reject(request)]
 
 
-def test_expired_on_arrival_is_refused_unsent() -> None:
+def test_request_expired_on_arrival_is_rejected_unsent() -> None:
     driver = Driver()
     request, actions = driver.request(deadline_ms=driver.now_ms - 5)
     assert actions == [Reject(request)]
 
 
-def test_two_draws_prefer_higher_payoff_over_in_flight() -> None:
+def test_pick_prefers_the_higher_payoff_per_request_in_flight() -> None:
     driver = Driver(endpoints=[endpoint("good"), endpoint("bad")])
     good = driver.balancer.endpoint_set.endpoints["good"]
     bad = driver.balancer.endpoint_set.endpoints["bad"]
@@ -123,20 +123,20 @@
     assert driver.sent[request] == ["bad"]  # 0.9 / 4 against 0.3
 
 
-def test_new_server_starts_at_the_others_mean() -> None:
+def test_new_server_starts_with_the_mean_statistics() -> None:
     driver = Driver(endpoints=[endpoint("s1"), endpoint("s2")])
     for _ in range(2):
         request, _ = driver.request()
         driver.end(request, Outcome.ERROR)
     driver.tell(delta(endpoint("s3")))
-    membership = driver.balancer.endpoint_set
-    assert membership.endpoints["s3"].class_statistics["safe"].earned_weight == pytest.approx(
-        membership.earned_weight["safe"]
+    endpoint_set = driver.balancer.endpoint_set
+    assert endpoint_set.endpoints["s3"].class_statistics["safe"].earned_weight == pytest.approx(
+        endpoint_set.earned_weight["safe"]
     )
-    assert membership.earned_weight["safe"] < 0.95
+    assert endpoint_set.earned_weight["safe"] < 0.95
 
 
-def test_no_server_holds_then_refuses_and_a_server_in_time_serves() -> None:
+def test_without_servers_requests_wait_until_one_is_listed_or_time_runs_out() -> None:
     driver = Driver(endpoints=[])
     lost, actions = driver.request()
     assert actions == []
@@ -146,7 +146,7 @@
     assert driver.tell(full(endpoint("s1"))) == [Send(saved, "s1", 480.0)]
 
 
-def test_draining_servers_count_as_none() -> None:
+def test_draining_servers_are_not_used() -> None:
     driver = Driver(endpoints=[endpoint("s1", state=EndpointState.DRAINING)])
     request, actions = driver.request()
     assert actions == []
@@ -164,7 +164,7 @@
 
 
 def test_same_events_same_actions() -> None:
-    def play() -> list[object]:
+    def run() -> list[object]:
         driver = Driver(seed=42)
         for i in range(40):
             request, _ = driver.request()
@@ -174,10 +174,10 @@
             driver.wait(100)
         return list(driver.log)
 
-    assert play() == play()
+    assert run() == run()
 
 
-def test_news_of_what_is_no_longer_held_is_ignored() -> None:
+def test_events_about_finished_or_unknown_requests_are_ignored() -> None:
     driver = Driver()
     request, _ = driver.request()
     driver.end(request, Outcome.OK)
@@ -187,7 +187,7 @@
     assert driver.tell(AttemptEnded(other, 7, Outcome.OK, -3)) == []
 
 
-def test_client_that_left_gets_nothing_more() -> None:
+def test_disconnected_client_gets_nothing_more() -> None:
     driver = Driver()
     request, _ = driver.request()
     driver.tell(ClientDisconnected(request))
@@ -213,7 +213,8 @@
 
 
 def test_one_error_among_good_answers_neither_pauses_nor_throttles() -> None:
-    # Spoilt answers come from any server alike; each used to halve the limit of a healthy one.
+    # Corrupted answers occur at any server; when each halved the concurrency limit, healthy servers were
+    # throttled.
     driver = Driver(endpoints=[endpoint("only")])
     only = driver.balancer.endpoint_set.endpoints["only"]
     for _ in range(20):
@@ -222,14 +223,14 @@
         driver.end(request, Outcome.ERROR)
         assert only.concurrency_limit >= 4
         assert not only.suspended(driver.now_ms)
-    assert only.class_statistics["unsafe"].earned_weight < 1  # but it counts against its payoff
+    assert only.class_statistics["unsafe"].earned_weight < 1  # the errors still lower its payoff
 
 
 @pytest.mark.parametrize(
     "outcome",
     [Outcome.ERROR, Outcome.RESET, Outcome.REJECTED, Outcome.CONNECT_FAILED],
 )
-def test_server_that_goes_on_failing_is_paused(outcome: Outcome) -> None:
+def test_server_that_fails_repeatedly_is_paused(outcome: Outcome) -> None:
     driver = Driver(endpoints=[endpoint("only")])
     only = driver.balancer.endpoint_set.endpoints["only"]
     driver.serve(3, "unsafe")
@@ -242,8 +243,8 @@
     assert only.concurrency_limit < 4
 
 
-def test_failures_that_befall_all_servers_alike_pause_none() -> None:
-    # One in five attempts is reset, wherever it goes: that is the way there, not the servers.
+def test_failures_common_to_all_servers_pause_none() -> None:
+    # One in five attempts is reset at every server, so the network is the cause, not a server.
     driver = Driver(endpoints=[endpoint(name) for name in "abc"])
     servers = driver.balancer.endpoint_set.endpoints.values()
     for number in range(200):
@@ -254,7 +255,7 @@
     assert all(server.concurrency_limit >= 4 for server in servers)
 
 
-def test_request_that_is_never_answered_at_a_quick_server_does_not_throttle_it() -> None:
+def test_lost_replies_do_not_throttle_a_server_that_answers_others_fast() -> None:
     driver = Driver(endpoints=[endpoint("only")])
     only = driver.balancer.endpoint_set.endpoints["only"]
     driver.serve(30, "unsafe")
@@ -270,8 +271,8 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.REJECTED])
-def test_server_that_fails_one_class_keeps_the_others(outcome: Outcome) -> None:
-    # Held against the server as a whole, its failures drove all classes to the few others.
+def test_server_that_fails_one_class_still_serves_the_others(outcome: Outcome) -> None:
+    # When such failures counted against the whole server, all classes were driven to the few other servers.
     driver = Driver(endpoints=[endpoint("half"), endpoint("whole")])
     half = driver.balancer.endpoint_set.endpoints["half"]
     for _ in range(40):
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,4 @@
-"""What the tests share: settings to start from, and a driver that keeps a balancer's clock and timers."""
+"""Shared by tests of the balancer: default settings, and a driver that provides the clock and timers."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 class Driver:
-    """Plays the proxy: hands over events, fires timers when due, remembers the attempts sent."""
+    """Stands in for the client proxy: passes events on, fires due timers and records the attempts sent."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         self.last_id = 0
         self.tell(EndpointsListed(ListKind.RESTORED, tuple(endpoints)))
         for known in self.balancer.endpoint_set.endpoints.values():
-            known.concurrency_limit = 4.0  # past the slow start
+            known.concurrency_limit = 4.0  # as after some answers; a new endpoint begins at 1
 
     def tell(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now_ms, events)
@@ -93,7 +93,7 @@
         return [a for a in actions if not isinstance(a, SetTimer)]
 
     def wait(self, ms: float) -> list[Action]:
-        """Let time pass; what was done when timers fired meanwhile."""
+        """Advance the clock by `ms` and fire the timers due; returns the actions that they caused."""
         until, done = self.now_ms + ms, []
         while due := [t for t in self.timers if t[0] <= until]:
             timer = min(due)
@@ -108,13 +108,13 @@
         return self.last_id, self.tell(RequestArrived(self.last_id, class_name, deadline_ms))
 
     def end(self, request_id: int, outcome: Outcome, latency_ms: float = 50.0) -> list[Action]:
-        """End the last attempt of a request."""
+        """Report the end of the last attempt of a request; returns the actions."""
         attempt = len(self.sent[request_id]) - 1
         answered = outcome is Outcome.OK
         return self.tell(AttemptEnded(request_id, attempt, outcome, latency_ms, answered))
 
     def serve(self, count: int, class_name: str = "safe", latency_ms: float = 50.0) -> None:
-        """Have `count` requests served, one after the other."""
+        """Send `count` requests, each served before the next arrives."""
         for _ in range(count):
             request_id, _ = self.request(class_name)
             self.wait(latency_ms)
