--- a/client_proxy/cli/instance_factory.py
+++ b/client_proxy/cli/instance_factory.py
@@ -138,7 +138,7 @@
         """Finish what is pending, and stop."""
         if self.control is not None:
             self.control.close()
-        await self.daemon.end(accept_grace_s=0.0)
+        await self.daemon.shut_down(accept_grace_s=0.0)
         if self._saver is not None:
             await self._saver.end()
 
--- a/client_proxy/emulator/virtual_proxy.py
+++ b/client_proxy/emulator/virtual_proxy.py
@@ -93,7 +93,7 @@
             return
 
         async def end() -> None:
-            await daemon.end()
+            await daemon.shut_down()
             # Who waits for the end is on the simulation's loop.
             self._environment.loop.call_soon(self._end_process, loop)
 
--- a/client_proxy/proxy/daemon.py
+++ b/client_proxy/proxy/daemon.py
@@ -273,13 +273,13 @@
         """Follow the discovery service at another address from now on."""
         self.discovery.move(discovery)
 
-    async def end(self, accept_grace_s: float = ACCEPT_GRACE_S) -> None:
+    async def shut_down(self, accept_grace_s: float = ACCEPT_GRACE_S) -> None:
         """Serve on for `accept_grace_s` seconds, finish what is pending, and stop."""
         classes = (cls for engine in (self.engine, *self.retired) for cls in engine.classes)
         longest_ms = max((cls.deadline_ms for cls in classes), default=DEFAULT_DEADLINE_MS)
         if self.gossip is not None:
             self.gossip.leave()
-        await self.listener.end(accept_grace_s, longest_ms / 1000.0 + FINISH_MARGIN_S, self._give_up)
+        await self.listener.shut_down(accept_grace_s, longest_ms / 1000.0 + FINISH_MARGIN_S, self._give_up)
         self.discovery.stop()
         if self.gossip is not None:
             self.gossip.close()
--- a/client_proxy/proxy/listener.py
+++ b/client_proxy/proxy/listener.py
@@ -113,7 +113,7 @@
 
     # Graceful shutdown
 
-    async def end(
+    async def shut_down(
         self, accept_grace_s: float, finish_timeout_s: float, give_up: Callable[[], None] | None = None
     ) -> None:
         """Serve on while connections still come, then finish what is pending, and no more.
--- a/client_proxy/proxy/program.py
+++ b/client_proxy/proxy/program.py
@@ -41,7 +41,7 @@
     loop = asyncio.get_running_loop()
     signals.attach(loop.call_soon_threadsafe, stop.set, partial(reload, daemon))
     await stop.wait()
-    await daemon.end()
+    await daemon.shut_down()
     # From the loop's close on, a handler of Python's would be no more than the default action again.
     signals.ignore()
 
--- a/tests/config/test_watched.py
+++ b/tests/config/test_watched.py
@@ -20,7 +20,7 @@
 from client_proxy.proxy.config import Config
 from client_proxy.proxy.daemon import ConnectionQuota, Daemon
 from client_proxy.settings import read_settings
-from tests.proxy.sockets import KEYED_CLASS, Client, Host, facts, run, until
+from tests.proxy.sockets import KEYED_CLASS, Client, Host, run, settings_json, until
 
 
 def worded(hosts: list[Host], version: int, weights: dict[str, float] | None = None) -> bytes:
@@ -45,7 +45,7 @@
             self.source = FileSource(path, 1.0, stated, directory, seen, kept)
             return self.source
 
-        plain = {**facts(), "discovery": "automatic"}
+        plain = {**settings_json(), "discovery": "automatic"}
         config = Config("t", ("127.0.0.1", 0), None, 1, read_settings(plain), None, 1024)
         self.daemon = Daemon(config, quota=ConnectionQuota(100, 100, 100), endpoint_source=listing)
         self.port = 0
@@ -59,7 +59,7 @@
         yield made
     finally:
         made.daemon.discovery.stop()
-        await made.daemon.listener.end(0.0, 1.0)
+        await made.daemon.listener.shut_down(0.0, 1.0)
 
 
 def runs(made: Instance, version: int) -> bool:
--- a/tests/membership/daemons.py
+++ b/tests/membership/daemons.py
@@ -17,13 +17,23 @@
 from client_proxy.proxy.config import Config
 from client_proxy.proxy.daemon import ConnectionQuota, Daemon
 from client_proxy.settings import read_settings
-from tests.proxy.sockets import KEYED_CLASS, UNSAFE_CLASS, Client, Got, Host, Registry, entry, facts, until
+from tests.proxy.sockets import (
+    KEYED_CLASS,
+    UNSAFE_CLASS,
+    Client,
+    Host,
+    ReceivedRequest,
+    Registry,
+    entry,
+    settings_json,
+    until,
+)
 
 FAST = GossipSettings(spread_ms=50.0, swim=SwimSettings(period_ms=200.0, timeout_ms=80.0, sync_ms=1000.0))
 SEED = 11
 
 
-async def abort_connection(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+async def abort_connection(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
@@ -41,7 +51,7 @@
         for host in self.hosts:
             await host.start()
         seeds: tuple[tuple[str, int], ...] = ()
-        settings = replace(read_settings(facts()), proxies=self.size)
+        settings = replace(read_settings(settings_json()), proxies=self.size)
         for number in range(self.size):
             keyring = derive_keyring(SEED, number + 1, ZONES[number % 3])
             gossip = Gossip(replace(FAST, seeds=seeds), keyring, settings, SEED + number)
@@ -72,7 +82,7 @@
     async def __aexit__(self, *_: object) -> None:
         for daemon in self.daemons:
             daemon.discovery.stop()
-            await daemon.listener.end(0.0, 1.0)
+            await daemon.listener.shut_down(0.0, 1.0)
             if daemon.gossip is not None:
                 daemon.gossip.close()
         for host in self.hosts:
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -25,7 +25,7 @@
 from client_proxy.proxy.config import Config
 from client_proxy.settings import read_settings
 from tests.membership.daemons import FAST, DaemonFleet, abort_connection
-from tests.proxy.sockets import KEYED_CLASS, UNSAFE_CLASS, Client, Host, facts, run, until
+from tests.proxy.sockets import KEYED_CLASS, UNSAFE_CLASS, Client, Host, run, settings_json, until
 
 
 def test_faulty_server_is_known_to_daemons_without_requests_despite_a_byzantine_reporter() -> None:
@@ -60,7 +60,7 @@
             # Nothing is removed: instances without requests so far use every other host. The faulty one is
             # picked less often; how much less is measured in simulated clusters, where no busy machine makes
             # a healthy host look slow.
-            before = {host.name: len(host.got) for host in hosts}
+            before = {host.name: len(host.received) for host in hosts}
             served = 0
             for _ in range(4):
                 for number in quiet:
@@ -68,8 +68,8 @@
                     status, _, _ = await client.ask(UNSAFE_CLASS)
                     served += status == 200
                     client.close()
-            assert served >= 40 - (len(faulty.got) - before[faulty.name])
-            assert all(len(host.got) > before[host.name] for host in hosts if host is not faulty)
+            assert served >= 40 - (len(faulty.received) - before[faulty.name])
+            assert all(len(host.received) > before[host.name] for host in hosts if host is not faulty)
 
     run(test())
 
@@ -119,7 +119,7 @@
         path = tmp_path / "own.keys"
         write_keys(path)
         settings_with_keys = replace(FAST, keys=str(path))
-        gossip = Gossip(settings_with_keys, load_keyring(path), read_settings(facts()), 1)
+        gossip = Gossip(settings_with_keys, load_keyring(path), read_settings(settings_json()), 1)
         gossip.start()
         write_keys(path, group=2)
         gossip.reload_keys()
@@ -141,7 +141,7 @@
 def test_addresses_of_the_platform_are_used_where_none_are_set(tmp_path: Path) -> None:
     async def test() -> None:
         config = Config(
-            "n", ("127.0.0.1", 0), ("127.0.0.1", 1), 1, read_settings(facts()), None, 1024,
+            "n", ("127.0.0.1", 0), ("127.0.0.1", 1), 1, read_settings(settings_json()), None, 1024,
             peer_listen=("127.0.0.1", 0), peers=(("127.0.0.1", 9), ("127.0.0.1", 10)),
         )  # fmt: skip
         gossip = Gossip.from_config(config, GossipSettings(), derive_keyring(1, 1, "a"))
@@ -162,7 +162,9 @@
     operators.write_text(f'[gossip]\nkeys = "{keys}"\n')
     import json
 
-    config.write_text(json.dumps({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": facts()}))
+    config.write_text(
+        json.dumps({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings_json()})
+    )
     command = [sys.executable, "-m", "client_proxy.proxy", "--operators", str(operators)]
     process = subprocess.run(
         command, env={**os.environ, "LB_CONFIG": str(config)}, capture_output=True, text=True, timeout=60
--- a/tests/proxy/sockets.py
+++ b/tests/proxy/sockets.py
@@ -69,7 +69,7 @@
             await asyncio.sleep(0.002)
 
 
-def facts(**bounds: Any) -> Json:
+def settings_json(**bounds: Any) -> Json:
     """Settings in the configuration's form."""
     return {
         "balancers": 1,
@@ -112,11 +112,11 @@
     }
 
 
-Answer = Callable[["Host", "Got", asyncio.StreamWriter], Awaitable[None]]
+Answer = Callable[["Host", "ReceivedRequest", asyncio.StreamWriter], Awaitable[None]]
 
 
 @dataclass
-class Got:
+class ReceivedRequest:
     """A request as it came in."""
 
     connection: int
@@ -131,7 +131,7 @@
     return encode_response(status, body, *named)
 
 
-async def served(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+async def served(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(http(200, b"from " + host.name.encode()))
 
 
@@ -151,7 +151,7 @@
 
     name: str
     answer: Answer = served
-    got: list[Got] = field(default_factory=list)
+    received: list[ReceivedRequest] = field(default_factory=list)
     connections: int = 0
     open: int = 0
     port: int = 0
@@ -170,8 +170,8 @@
         self.writers.append(writer)
         try:
             while True:
-                got = Got(number, *await read_message(reader))
-                self.got.append(got)
+                got = ReceivedRequest(number, *await read_message(reader))
+                self.received.append(got)
                 await self.answer(self, got, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -210,7 +210,7 @@
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.watches.append(writer)
 
-    def say(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         """One chunk on the newest watch."""
         self.watches[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
 
@@ -262,7 +262,7 @@
     for host in hosts:
         if host.server is None:
             await host.start()
-    read = read_settings(settings or facts())
+    read = read_settings(settings or settings_json())
     config = Config(
         name="test",
         listen=("127.0.0.1", 0),
@@ -276,7 +276,7 @@
     directory = daemon.directory
     port = await daemon.start()
     await until(lambda: bool(registry.watches))
-    registry.say(registry.change(*[entry(host) for host in hosts], full=True))
+    registry.send_chunk(registry.change(*[entry(host) for host in hosts], full=True))
     await until(lambda: len(directory.entries) == len(hosts))
     try:
         yield Proxy(
@@ -284,7 +284,7 @@
         )
     finally:
         daemon.discovery.stop()
-        await daemon.listener.end(0.0, 1.0)
+        await daemon.listener.shut_down(0.0, 1.0)
         for host in hosts:
             host.stop()
         registry.stop()
@@ -300,7 +300,7 @@
     async def connect(cls, port: int) -> Client:
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
-    def worded(
+    def encode_request(
         self,
         cls: str = UNSAFE_CLASS,
         body: bytes = b"form",
@@ -317,7 +317,7 @@
         return head.encode() + body
 
     def send(self, cls: str = UNSAFE_CLASS, **kwargs: Any) -> None:
-        self.writer.write(self.worded(cls, **kwargs))
+        self.writer.write(self.encode_request(cls, **kwargs))
 
     async def answer(self) -> tuple[int, dict[str, str], bytes]:
         line, headers, body = await read_message(self.reader)
--- a/tests/proxy/test_before_the_write.py
+++ b/tests/proxy/test_before_the_write.py
@@ -21,13 +21,13 @@
     KEYED_CLASS,
     UNSAFE_CLASS,
     Client,
-    Got,
     Host,
     Proxy,
-    facts,
+    ReceivedRequest,
     http,
     proxy,
     run,
+    settings_json,
     until,
 )
 from tests.proxy.test_upstream import one, request, upstream
@@ -47,7 +47,7 @@
 
 def patient() -> dict[str, Any]:
     """Settings by which nothing but the test ends a request."""
-    settings = facts()
+    settings = settings_json()
     for cls in settings["categories"]:
         cls["aim_ms"] = cls["deadline_ms"] = 600_000.0
         if "window_ms" in cls:
@@ -64,8 +64,8 @@
         nonlocal ahead_s
         ahead_s += dial_ms / 1000.0
 
-    async def broken(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
-        if hosts[0].got and hosts[1].got:
+    async def broken(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        if hosts[0].received and hosts[1].received:
             writer.write(http(200, b"second"))
             return
         during_dials(proxies[0], dial)
@@ -81,7 +81,7 @@
             status, _, _ = await client.ask(KEYED_CLASS, expires_ms=600_000)
             # It may have run, so it can't be refused: it has failed.
             assert status == (200 if repeated else 502)
-            assert len(hosts[0].got) + len(hosts[1].got) == 1 + repeated
+            assert len(hosts[0].received) + len(hosts[1].received) == 1 + repeated
             client.close()
 
     with driven(lambda: time.monotonic() + ahead_s, time.time):
@@ -107,13 +107,13 @@
         async with proxy(host, settings=patient()) as p:
             client = socket.create_connection(("127.0.0.1", p.port))
             clients.append(client)
-            client.sendall(Client(None, None).worded(cls, expires_ms=600_000))  # type: ignore[arg-type]
+            client.sendall(Client(None, None).encode_request(cls, expires_ms=600_000))  # type: ignore[arg-type]
             await until(
                 lambda: (
                     client.fileno() < 0 and not p.listener.connections and p.upstream.open_connections == 0
                 )
             )
-            assert not host.got
+            assert not host.received
             assert not p.engine.pending_count
             assert not p.engine.balancer.requests
 
@@ -124,7 +124,7 @@
 def test_who_left_behind_a_full_buffer_is_not_served_further(reset: bool) -> None:
     # With many requests ahead reading is paused, and the end behind them is not read. Each of them went out
     # as soon as the one before had its answer, for nobody.
-    async def held(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(http(200))
 
@@ -132,12 +132,12 @@
         release.clear()
         host = Host("h", held)
         async with proxy(host, settings=patient()) as p:
-            worded = Client(None, None).worded  # type: ignore[arg-type]
+            worded = Client(None, None).encode_request  # type: ignore[arg-type]
             client = socket.create_connection(("127.0.0.1", p.port))
             if reset:
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             client.sendall(worded(UNSAFE_CLASS, expires_ms=600_000))
-            await until(lambda: len(host.got) == 1)
+            await until(lambda: len(host.received) == 1)
             many = b"".join(worded(UNSAFE_CLASS, body=b"x" * 4000, expires_ms=600_000) for _ in range(60))
             client.sendall(many)
             (connection,) = p.listener.connections
@@ -145,7 +145,7 @@
             client.close()
             release.set()
             await until(lambda: not p.listener.connections)
-            assert len(host.got) == 1
+            assert len(host.received) == 1
             assert not p.engine.pending_count
 
     release = asyncio.Event()
@@ -157,7 +157,7 @@
     when: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The retry was decided, found nobody who held its request, and counted as under way for good.
-    async def broken(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def broken(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(http(500))
 
     async def test() -> None:
@@ -188,7 +188,7 @@
             await until(lambda: bool(left) and not p.engine.pending_count)
             await until(lambda: not p.engine._events and not p.engine.balancer.requests)
             assert [e.in_flight for e in p.engine.balancer.endpoint_set.endpoints.values()] == [0]
-            assert len(host.got) == (when != "as it arrives")
+            assert len(host.received) == (when != "as it arrives")
             client.close()
 
     run(test())
@@ -203,7 +203,7 @@
         ended: list[AttemptResult] = []
         up.start_attempt(request(), "h", 5000.0, ended.append, lambda: answers.pop(0))
         await until(lambda: bool(ended))
-        assert (ended[0].outcome, host.got, answers) == (Outcome.NOT_SENT, [], [])
+        assert (ended[0].outcome, host.received, answers) == (Outcome.NOT_SENT, [], [])
         assert (await one(up, "h")).outcome is Outcome.OK
         # On a connection that rests it is asked once, and the connection rests on.
         attempt = up.start_attempt(request(), "h", 5000.0, ended.append, lambda: False)
@@ -211,7 +211,7 @@
         assert attempt.ended
         assert ended[1].outcome is Outcome.NOT_SENT
         assert (await one(up, "h")).outcome is Outcome.OK
-        assert [got.connection for got in host.got] == [1, 1]
+        assert [got.connection for got in host.received] == [1, 1]
         host.stop()
 
     run(test())
@@ -230,7 +230,7 @@
             during_dials(p, dial)
             client = await Client.connect(p.port)
             assert (await client.ask(expires_ms=5000))[0] == 200
-            assert int(host.got[0].headers["x-expires-in-ms"]) <= 2000
+            assert int(host.received[0].headers["x-expires-in-ms"]) <= 2000
             client.close()
 
     with driven(lambda: time.monotonic() + ahead_s, time.time):
--- a/tests/proxy/test_descriptors.py
+++ b/tests/proxy/test_descriptors.py
@@ -52,7 +52,7 @@
         registry = Registry(port=discovery)
         registry.server = await asyncio.start_server(registry._serve, "127.0.0.1", discovery)
         await until(lambda: bool(registry.watches))
-        registry.say(registry.change(entry(host), full=True))
+        registry.send_chunk(registry.change(entry(host), full=True))
         served = 0
         while served < 20:
             asking = await connected(port)
@@ -60,7 +60,7 @@
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
                 served += (await asking.ask())[0] == 200
             asking.close()
-        assert len(host.got) >= 20
+        assert len(host.received) >= 20
         assert process.returncode is None
         process.terminate()
         _, log = await process.communicate()
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -46,8 +46,8 @@
         registry = await Registry().start()
         told = Told(registry)
         await told.subscribe()
-        registry.say(registry.change(entry(A), entry(B), full=True))
-        registry.say(registry.change(entry(A, "draining")) + registry.change(entry(B, "gone")))
+        registry.send_chunk(registry.change(entry(A), entry(B), full=True))
+        registry.send_chunk(registry.change(entry(A, "draining")) + registry.change(entry(B, "gone")))
         await until(lambda: len(told.events) == 3)
         assert told.kinds == [ListKind.FULL, ListKind.DELTA, ListKind.DELTA]
         assert {e.name: e.state for e in told.directory.entries.values()} == {"a": EndpointState.DRAINING}
@@ -65,7 +65,7 @@
         await told.subscribe()
         data = registry.change(entry(A), full=True) + registry.change(entry(B)) + b"\n"
         for at in range(0, len(data), 7):
-            registry.say(data[at : at + 7])
+            registry.send_chunk(data[at : at + 7])
             await asyncio.sleep(0)
         await until(lambda: len(told.events) == 2)
         assert set(told.directory.entries) == {"a", "b"}
@@ -82,9 +82,9 @@
         told.directory.apply({"index": 41, "snapshot": True, "endpoints": [entry(A)]}, restored=True)
         await told.subscribe()
         assert "since=41" in registry.calls[0]
-        registry.say(b"\n")
-        registry.say(b"\n")
-        registry.say(registry.change(entry(B)))
+        registry.send_chunk(b"\n")
+        registry.send_chunk(b"\n")
+        registry.send_chunk(registry.change(entry(B)))
         await until(lambda: len(told.events) == 2)
         assert told.events[0] == EndpointsListed(ListKind.DELTA)
         assert set(told.directory.entries) == {"a", "b"}
@@ -111,12 +111,12 @@
             assert told.kinds == [ListKind.FAILED]
             return
         await told.subscribe()
-        registry.say(registry.change(entry(A), full=True))
+        registry.send_chunk(registry.change(entry(A), full=True))
         await until(lambda: len(told.events) == 1)
         if how == "reset":
             registry.watches[0].transport.abort()
         elif how == "unreadable":
-            registry.say(b'{"index": 9, "endpoints": [{"name": "x"}]}\n')
+            registry.send_chunk(b'{"index": 9, "endpoints": [{"name": "x"}]}\n')
         await until(lambda: len(told.events) == 2)
         assert told.kinds == [ListKind.FULL, ListKind.FAILED]
         assert set(told.directory.entries) == {"a"}  # the old list stands
@@ -139,7 +139,7 @@
         await until(lambda: len(registry.watches) == 1)
         registry.watches[0].transport.abort()
         await until(lambda: len(registry.watches) == 2)
-        registry.say(registry.change(entry(A), full=True))
+        registry.send_chunk(registry.change(entry(A), full=True))
         await until(lambda: told.kinds == [ListKind.FULL])
         told.discovery.stop()
         registry.stop()
@@ -189,7 +189,7 @@
             told.discovery.subscribe()  # as the balancer asks after the failure
         probe = Told(registry)
         await probe.subscribe()  # whatever was due has come before it
-        elsewhere.say(elsewhere.change(entry(A), full=True))
+        elsewhere.send_chunk(elsewhere.change(entry(A), full=True))
         await until(lambda: set(told.directory.entries) == {"a"})
         assert (len(registry.calls), len(elsewhere.calls)) == (2, 1)
         probe.discovery.stop()
@@ -208,7 +208,7 @@
         registry, elsewhere = await Registry().start(), await Registry().start()
         told = Told(registry)
         await told.subscribe()
-        registry.say(registry.change(entry(A), entry(B), full=True))
+        registry.send_chunk(registry.change(entry(A), entry(B), full=True))
         await until(lambda: len(told.events) == 1)
         former = told.discovery._watch
         assert former is not None
@@ -216,13 +216,13 @@
         transport = former._transport
         if when == "before the move":
             transport.pause_reading()
-            registry.say(registry.change(entry(A, change)))
+            registry.send_chunk(registry.change(entry(A, change)))
             peer = SocketState(transport.get_extra_info("socket"))
             await until(peer.has_unread_data)
             transport.resume_reading()
         told.discovery.move(("127.0.0.1", elsewhere.port))
         if when == "after the move":
-            registry.say(registry.change(entry(A, change)))
+            registry.send_chunk(registry.change(entry(A, change)))
         # The new service works through its calls: it has not answered yet.
         await until(lambda: len(told.events) == 2)
         stands = {
@@ -232,7 +232,7 @@
         await until(lambda: len(elsewhere.watches) == 1)
         assert "since" not in elsewhere.calls[0]
         # Its answer is what holds from then on, and an index of the old service is never told to it.
-        elsewhere.say(elsewhere.change(entry(B), full=True))
+        elsewhere.send_chunk(elsewhere.change(entry(B), full=True))
         await until(lambda: len(told.events) == 3)
         assert transport.is_closing()
         assert set(told.directory.entries) == {"b"}
@@ -254,10 +254,10 @@
         registry, elsewhere = await Registry().start(), await Registry().start()
         told = Told(registry)
         await told.subscribe()
-        registry.say(registry.change(entry(A), full=True))
+        registry.send_chunk(registry.change(entry(A), full=True))
         await until(lambda: len(told.events) == 1)
         told.discovery.move(("127.0.0.1", elsewhere.port))
-        registry.say(registry.change(entry(A, "draining")))
+        registry.send_chunk(registry.change(entry(A, "draining")))
         await until(lambda: len(told.events) == 2 and len(elsewhere.watches) == 1)
         elsewhere.watches[0].transport.abort()
         await until(lambda: told.kinds[-1] is ListKind.FAILED)
@@ -278,17 +278,17 @@
         first, second, third = registries
         told = Told(first)
         await told.subscribe()
-        first.say(first.change(entry(A), entry(B), full=True))
+        first.send_chunk(first.change(entry(A), entry(B), full=True))
         await until(lambda: len(told.events) == 1)
         told.discovery.move(("127.0.0.1", second.port))
         await until(lambda: len(second.watches) == 1)
         told.discovery.move(("127.0.0.1", third.port))
         await until(lambda: len(third.watches) == 1)
-        second.say(second.change(full=True))  # it is not followed any more
-        first.say(first.change(entry(A, "draining")))
+        second.send_chunk(second.change(full=True))  # it is not followed any more
+        first.send_chunk(first.change(entry(A, "draining")))
         await until(lambda: len(told.events) == 2)
         assert told.events[1].endpoints[0].state is EndpointState.DRAINING
-        third.say(third.change(entry(B), full=True))
+        third.send_chunk(third.change(entry(B), full=True))
         await until(lambda: set(told.directory.entries) == {"b"})
         assert len(told.events) == 3
         told.discovery.stop()
--- a/tests/proxy/test_forms.py
+++ b/tests/proxy/test_forms.py
@@ -16,14 +16,14 @@
     KEYED_CLASS,
     UNSAFE_CLASS,
     Client,
-    Got,
     Host,
     Json,
+    ReceivedRequest,
     entry,
-    facts,
     http,
     proxy,
     run,
+    settings_json,
     until,
 )
 
@@ -35,7 +35,7 @@
 
 def patient() -> Json:
     """Settings with a class of each effect, by which nothing but the test ends a request."""
-    settings = facts()
+    settings = settings_json()
     settings["categories"].append({"name": SAFE_CLASS, "effect": "retryable", "worth": 1.0})
     for cls in settings["categories"]:
         cls["aim_ms"] = cls["deadline_ms"] = float(EXPIRES_MS)
@@ -124,7 +124,7 @@
             assert (await client.answer())[0] == 200
             await send_in_pieces(client, keyed(2, LENGTH), piece)  # the connection is fit for another
             assert (await client.answer())[0] == 200
-            first, second = host.got
+            first, second = host.received
             assert first.line == f"POST /{KEYED_CLASS}/7f3a?n=1 HTTP/1.1"
             assert (first.headers["x-trace-id"], first.headers["idempotency-key"]) == ("t1", KEY)
             assert (first.body, second.headers["x-trace-id"]) == (BODY, "t2")
@@ -154,7 +154,7 @@
     # The host that is drained goes on answering, and the other gets what comes from then on.
     count, drained_at = 60 if piece > 1 else 12, 5
 
-    async def echo(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def echo(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         if len(order) == drained_at:
             await drained.wait()
         order.append(host.name)
@@ -167,10 +167,10 @@
             data = b"".join(one_of_each(number) for number in range(count))
             data += keyed(count, LENGTH, "Connection: close") if close else b""
             sending = asyncio.create_task(send_in_pieces(client, data, piece))
-            await until(lambda: len(order) == drained_at < sum(len(host.got) for host in hosts))
-            busy, idle = sorted(hosts, key=lambda host: len(host.got) == order.count(host.name))
+            await until(lambda: len(order) == drained_at < sum(len(host.received) for host in hosts))
+            busy, idle = sorted(hosts, key=lambda host: len(host.received) == order.count(host.name))
             leaves = busy if drain == "the busy host" else idle
-            p.registry.say(p.registry.change(entry(leaves, "draining")))
+            p.registry.send_chunk(p.registry.change(entry(leaves, "draining")))
             await until(lambda: p.directory.entries[leaves.name].state is EndpointState.DRAINING)
             drained.set()
             bodies = [await client.answer() for _ in range(count + close)]
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -20,24 +20,24 @@
     KEYED_CLASS,
     UNSAFE_CLASS,
     Client,
-    Got,
     Host,
+    ReceivedRequest,
     entry,
-    facts,
     http,
     proxy,
     run,
     served,
+    settings_json,
     until,
 )
 
 
-async def silent(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+async def silent(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     pass
 
 
 def test_request_goes_on_unchanged_and_the_answer_comes_back() -> None:
-    async def echo(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def echo(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(http(200, got.body[::-1], Content_Type="text/x", Endpoint_Load_Metrics="TEXT queue=1"))
 
     async def test() -> None:
@@ -48,7 +48,7 @@
             status, headers, answer = await client.ask(KEYED_CLASS, body=body, key="abc", X_Other="o")
             assert (status, answer, headers["content-type"]) == (200, body[::-1], "text/x")
             assert "endpoint-load-metrics" not in headers
-            (got,) = host.got
+            (got,) = host.received
             assert got.line == f"POST /{KEYED_CLASS}/7f3a HTTP/1.1"
             assert (got.body, got.headers["idempotency-key"], got.headers["x-other"]) == (body, "abc", "o")
             assert got.headers["x-trace-id"]
@@ -69,7 +69,7 @@
                 return (await client.answer())[0]
 
             assert await ready() == 200
-            p.registry.say(p.registry.change(entry(host, "gone")))
+            p.registry.send_chunk(p.registry.change(entry(host, "gone")))
             await until(lambda: not p.directory.usable())
             assert await ready() == 503
             client.close()
@@ -122,13 +122,13 @@
     async def test() -> None:
         host = Host("h", silent)
         # So long that nothing else ends it.
-        settings = facts()
+        settings = settings_json()
         for cls in settings["categories"]:
             cls["aim_ms"] = cls["deadline_ms"] = 600_000.0
         async with proxy(host, settings=settings) as p:
             client = await Client.connect(p.port)
             client.send(expires_ms=600_000)
-            await until(lambda: len(host.got) == 1)
+            await until(lambda: len(host.received) == 1)
             client.close()
             await until(lambda: host.open == 0 and p.engine.pending_count == 0)
             assert p.upstream.open_connections == 0
@@ -140,7 +140,7 @@
     async def test() -> None:
         host = Host("h")
         async with proxy(host) as p:
-            p.registry.say(p.registry.change(full=True))
+            p.registry.send_chunk(p.registry.change(full=True))
             await until(lambda: not p.directory.usable())
             client = await Client.connect(p.port)
             assert (await client.ask(expires_ms=300))[0] == 503
@@ -209,7 +209,7 @@
             assert await client.reader.read() == b""
             other = await Client.connect(p.port)
             assert (await other.ask())[0] == 200
-            assert len(host.got) == 1
+            assert len(host.received) == 1
             client.close()
             other.close()
 
@@ -247,7 +247,7 @@
                 assert (await client.answer())[0] == 408
             assert await client.reader.read() == b""
             await until(lambda: not p.listener.connections)
-            assert len(host.got) == (0 if first else 1)
+            assert len(host.received) == (0 if first else 1)
             client.close()
 
     run(test())
@@ -273,7 +273,7 @@
     # Passed on, the second of them is a duplicate of the first.
     release = asyncio.Event()
 
-    async def held(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(http(200))
 
@@ -282,12 +282,12 @@
         async with proxy(host) as p:
             client, other = await Client.connect(p.port), await Client.connect(p.port)
             client.send(X_Trace_Id="a1")
-            await until(lambda: len(host.got) == 1)
+            await until(lambda: len(host.received) == 1)
             assert (await other.ask(X_Trace_Id="a1"))[0] == 409
             release.set()
             assert (await client.answer())[0] == 200
             assert (await client.ask(X_Trace_Id="a1"))[0] == 409
-            assert len(host.got) == 1
+            assert len(host.received) == 1
             for one in (client, other):
                 one.close()
 
@@ -295,7 +295,7 @@
 
 
 def test_deadline_beyond_the_class_s_own_is_bounded_by_it() -> None:
-    settings = facts()
+    settings = settings_json()
     for cls in settings["categories"]:
         cls["aim_ms"] = cls["deadline_ms"] = 1000.0
 
@@ -304,14 +304,14 @@
         async with proxy(host, settings=settings) as p:
             client = await Client.connect(p.port)
             assert (await client.ask(expires_ms=999_999_999))[0] == 502
-            assert int(host.got[0].headers["x-expires-in-ms"]) <= 1000
+            assert int(host.received[0].headers["x-expires-in-ms"]) <= 1000
             client.close()
 
     run(test())
 
 
 def test_request_that_a_host_can_not_use_is_not_repeated_nor_held_against_it() -> None:
-    async def unusable(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def unusable(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(http(400))
 
     async def test() -> None:
@@ -320,7 +320,7 @@
             client = await Client.connect(p.port)
             for number in range(8):
                 assert (await client.ask(KEYED_CLASS))[0] == 502
-                assert sum(len(host.got) for host in hosts) == number + 1
+                assert sum(len(host.received) for host in hosts) == number + 1
             membership = p.engine.balancer.endpoint_set
             assert all(e.payoff(KEYED_CLASS) == 1.0 for e in membership.endpoints.values())
             assert all(e.has_capacity(now_ms(), KEYED_CLASS) for e in membership.endpoints.values())
@@ -393,7 +393,7 @@
 
 
 def test_requests_ahead_of_their_turn_are_answered_in_order() -> None:
-    async def echo(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def echo(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(http(200, got.body))
 
     async def test() -> None:
@@ -445,7 +445,7 @@
         async with proxy(host) as p:
             first, second = await Client.connect(p.port), await Client.connect(p.port)
             first.send()
-            await until(lambda: len(host.got) == 1)
+            await until(lambda: len(host.received) == 1)
             fail[0] = True
             second.send()
             assert (await first.answer())[0] == 500
@@ -462,7 +462,7 @@
 
 
 def test_slow_reader_gets_no_further_answers_until_it_reads() -> None:
-    async def large(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def large(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(http(200, b"x" * 65536))
 
     async def test() -> None:
@@ -476,7 +476,7 @@
                 client.send(expires_ms=60_000, body=b"")
             (connection,) = p.listener.connections
             await until(lambda: not connection.writable)
-            asked = len(host.got)
+            asked = len(host.received)
             assert asked < total
             transport.resume_reading()
             for _ in range(total):
@@ -504,7 +504,7 @@
 
 def test_end_serves_who_still_comes_and_finishes_what_is_taken() -> None:
     # At a planned restart connections go on coming for a while; what is taken is answered all the same.
-    async def held(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(http(200, b"late"))
 
@@ -515,11 +515,11 @@
         async with proxy(*hosts) as p:
             taken, idle = await Client.connect(p.port), await Client.connect(p.port)
             taken.send()
-            await until(lambda: sum(len(h.got) for h in hosts) == 1)
-            ending = asyncio.create_task(p.listener.end(0.3, 10.0))
+            await until(lambda: sum(len(h.received) for h in hosts) == 1)
+            ending = asyncio.create_task(p.listener.shut_down(0.3, 10.0))
             coming = await Client.connect(p.port)
             coming.send()
-            await until(lambda: sum(len(h.got) for h in hosts) == 2)
+            await until(lambda: sum(len(h.received) for h in hosts) == 2)
             assert not ending.done()
             assert await idle.reader.read() == b""  # closed between requests, once nobody comes any more
             with pytest.raises(OSError):
@@ -562,7 +562,7 @@
     # All of them busy: none can be closed in between, and further ones would be dropped unanswered.
     release = asyncio.Event()
 
-    async def held(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(http(200))
 
@@ -599,12 +599,12 @@
             async def write_meanwhile(delay: float) -> None:
                 """The request comes while the loop is at something else."""
                 if delay == coming_s:
-                    os.write(client.writer.get_extra_info("socket").fileno(), client.worded())
+                    os.write(client.writer.get_extra_info("socket").fileno(), client.encode_request())
                 else:
                     await sleep(delay)
 
             monkeypatch.setattr(asyncio, "sleep", write_meanwhile)
-            ending = asyncio.create_task(p.listener.end(coming_s, 5.0))
+            ending = asyncio.create_task(p.listener.shut_down(coming_s, 5.0))
             assert (await client.answer())[0] == 200
             await ending
             client.close()
--- a/tests/proxy/test_lingering.py
+++ b/tests/proxy/test_lingering.py
@@ -13,10 +13,21 @@
 from client_proxy.proxy.client_connection import MAX_PIPELINED_REQUESTS, ClientConnection
 from client_proxy.proxy.connection_context import Phase
 from client_proxy.proxy.messages import Headers
-from tests.proxy.sockets import KEYED_CLASS, UNSAFE_CLASS, Client, Got, Host, Proxy, http, proxy, run, until
+from tests.proxy.sockets import (
+    KEYED_CLASS,
+    UNSAFE_CLASS,
+    Client,
+    Host,
+    Proxy,
+    ReceivedRequest,
+    http,
+    proxy,
+    run,
+    until,
+)
 from tests.proxy.test_before_the_write import patient
 
-WORDED = Client(None, None).worded  # type: ignore[arg-type]
+WORDED = Client(None, None).encode_request  # type: ignore[arg-type]
 
 
 def connected(p: Proxy) -> socket.socket:
@@ -70,7 +81,7 @@
             assert come.endswith(b"from h")
             client.close()
             await until(lambda: not p.listener.connections)
-            assert len(host.got) == 1  # what came after the shutdown went nowhere
+            assert len(host.received) == 1  # what came after the shutdown went nowhere
 
     run(test())
 
@@ -84,14 +95,14 @@
             client = connected(p)
             client.sendall(WORDED())
             connection = await only(p)
-            await until(lambda: len(host.got) == 1 and connection.idle)
+            await until(lambda: len(host.received) == 1 and connection.idle)
             as_it_shuts(lambda: client.sendall(WORDED()), monkeypatch)
             connection.close_idle()
             come = await received(client)  # no reset: the client knows that its second request was not read
             assert come.count(b"HTTP/1.1 200") == 1
             client.close()
             await until(lambda: not p.listener.connections)
-            assert len(host.got) == 1
+            assert len(host.received) == 1
 
     run(test())
 
@@ -103,7 +114,7 @@
             client = await Client.connect(p.port)
             assert (await client.ask())[0] == 200
             connection = await only(p)
-            at_once(client, client.worded())
+            at_once(client, client.encode_request())
             connection.close_idle()  # in the same turn of the loop
             assert (await client.answer())[0] == 200
             client.close()
@@ -113,7 +124,7 @@
 
 def test_a_request_on_hand_is_answered_before_the_connection_ends() -> None:
     # Over the limit each answer ends its connection, but not over a request that has come whole.
-    async def held(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(http(200, got.body))
 
@@ -129,7 +140,7 @@
 
             def answered(self: ClientConnection, status: int, headers: Headers, body: bytes) -> None:
                 if body == b"one":
-                    at_once(client, client.worded(body=b"two"))
+                    at_once(client, client.encode_request(body=b"two"))
                 answer(self, status, headers, body)
 
             ClientConnection._answer = answered  # type: ignore[method-assign]
@@ -203,7 +214,7 @@
             client.sendall(WORDED())
             connection = await only(p)
             await until(lambda: connection.idle and connection._has_sent_request)
-            await p.listener.end(0.0, 600.0)  # the client never ends its side
+            await p.listener.shut_down(0.0, 600.0)  # the client never ends its side
             assert connection._phase is Phase.HALF_CLOSED
             client.close()
 
@@ -212,7 +223,7 @@
 
 def test_what_is_not_finished_at_the_end_is_answered_as_it_stands() -> None:
     # The process ended over a request that came late, and over half a one: both clients heard nothing.
-    async def silent(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def silent(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         pass
 
     async def test() -> None:
@@ -220,11 +231,11 @@
         async with proxy(host, settings=patient()) as p:
             taken, half = await Client.connect(p.port), await Client.connect(p.port)
             taken.send(expires_ms=600_000)
-            half.writer.write(half.worded()[:40])
+            half.writer.write(half.encode_request()[:40])
             await until(
-                lambda: len(host.got) == 1 and any(c._parser.in_message for c in p.listener.connections)
+                lambda: len(host.received) == 1 and any(c._parser.in_message for c in p.listener.connections)
             )
-            ending = asyncio.create_task(p.listener.end(0.0, 0.0))
+            ending = asyncio.create_task(p.listener.shut_down(0.0, 0.0))
             assert (await taken.answer())[0] == 502  # it may have run
             assert (await half.answer())[0] == 408
             for client in (taken, half):
@@ -244,7 +255,7 @@
     # the soak's seed 43 beside five busy processes, seconds after SIGTERM, longest deadline 1.07 s:
     #     1.490 requests 6 and 7 are sent ahead; 1.620 request 4 is answered 502, 5 is answered 503
     #     1.625 request 6 is sent to a server; 1.772 the kill; 6, 7 and 8 have no answer
-    async def silent(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def silent(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         pass
 
     async def test() -> None:
@@ -253,8 +264,8 @@
             client = await Client.connect(p.port)
             for _ in range(MAX_PIPELINED_REQUESTS + 8):
                 client.send(expires_ms=600_000)
-            await until(lambda: len(host.got) == 1)
-            ending = asyncio.create_task(p.listener.end(0.0, 0.0))
+            await until(lambda: len(host.received) == 1)
+            ending = asyncio.create_task(p.listener.shut_down(0.0, 0.0))
             assert (await client.answer())[0] == 502  # it may have run
             answers = [await client.answer() for _ in range(MAX_PIPELINED_REQUESTS + 7)]
             assert {status for status, _, _ in answers} == {503}  # these never ran
@@ -262,7 +273,7 @@
             assert await client.reader.read() == b""
             client.close()
             await ending
-            assert len(host.got) == 1
+            assert len(host.received) == 1
 
     run(test())
 
@@ -271,7 +282,7 @@
     # With requests ahead of their turn it counted as busy, for good, and kept its descriptor.
     monkeypatch.setattr(listener, "REQUEST_TIMEOUT_MS", 50.0)
 
-    async def large(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def large(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(http(200, b"x" * 64 * 1024))
 
     async def test() -> None:
@@ -294,7 +305,7 @@
     # Each may send a whole buffer ahead of its turn; some hundreds together took all of the memory.
     monkeypatch.setattr(connection_limits, "MAX_PIPELINED_BYTES", 200_000)
 
-    async def held(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(http(200))
 
@@ -305,7 +316,7 @@
             clients = [await Client.connect(p.port) for _ in range(8)]
             for client in clients:
                 for _ in range(31):
-                    client.writer.write(client.worded(body=b"x" * 8000, expires_ms=600_000))
+                    client.writer.write(client.encode_request(body=b"x" * 8000, expires_ms=600_000))
                 await client.writer.drain()
             good = await Client.connect(p.port)
             good.send(body=b"good", expires_ms=600_000)
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -19,15 +19,15 @@
 from client_proxy.proxy.errors import ConfigError
 from tests.proxy.sockets import (
     Client,
-    Got,
     Host,
     Json,
+    ReceivedRequest,
     Registry,
     entry,
-    facts,
     http,
     proxy,
     run,
+    settings_json,
     start_process,
     until,
 )
@@ -41,7 +41,7 @@
         "discovery": "127.0.0.1:9",
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "settings": facts(),
+        "settings": settings_json(),
         **changes,
     }
     file = path / "config.json"
@@ -74,7 +74,7 @@
         {"settings": None},
         {"settings": {}},
         {"settings": []},
-        {"settings": {**facts(), "balancers": 0}},
+        {"settings": {**settings_json(), "balancers": 0}},
         {"limits": {"sockets": "many"}},
         {"limits": []},
     ],
@@ -106,7 +106,7 @@
         "seed": "8c",
         "limits": {"sockets": 1024},
         "settings": {
-            **facts(),
+            **settings_json(),
             "projects": [{"name": "a", "quota_per_s": 3.0}],
             "prices": {"cross_zone": 0.1},
             "objective_mix": {"whole": 0.5, "full_at_nines": 3.0},
@@ -140,7 +140,7 @@
     # Very large, zero, and keys that we have never heard of: it starts, and serves.
     async def test() -> None:
         host = Host("h")
-        settings = facts(max_attempts=10**9, conn_idle_ms=0.0, unheard_of={"a": [1]}, max_open=0)
+        settings = settings_json(max_attempts=10**9, conn_idle_ms=0.0, unheard_of={"a": [1]}, max_open=0)
         settings |= {"news": None, "discovery": "by pigeon", "balancers": 10**6, "reporting": {"how": "off"}}
         settings["safety"] |= {"drain_grace_ms": 0, "must_ask_in_ms": 1e15, "fall_ms": 1e12, "cold_ms": 0}
         for cls in settings["categories"]:
@@ -210,7 +210,7 @@
     # Ready on the restored list alone; after SIGTERM what is taken is answered, then it ends by itself.
     release = asyncio.Event()
 
-    async def held(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(http(200, b"done"))
 
@@ -228,7 +228,7 @@
         assert "follow=1&since=1" in registry.calls[0]
         client = await Client.connect(port)
         client.send()
-        await until(lambda: len(host.got) == 1)
+        await until(lambda: len(host.received) == 1)
         process.send_signal(signal.SIGTERM)
         assert await probe.reader.read() == b""  # closed: it stopped taking connections
         release.set()
@@ -245,7 +245,7 @@
     # Half a request is in the parser, another is at a host, discovery is moved, and SIGTERM comes twice.
     release = asyncio.Event()
 
-    async def held(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(http(200, b"done"))
 
@@ -262,16 +262,16 @@
         resting.writer.write(b"GET /ready HTTP/1.1\r\n\r\n")
         assert (await resting.answer())[0] == 200
         taken.send()
-        await until(lambda: sum(len(host.got) for host in hosts) == 1)
+        await until(lambda: sum(len(host.received) for host in hosts) == 1)
         await until(lambda: len(registry.calls) == 1)
-        whole = half.worded()
+        whole = half.encode_request()
         half.writer.write(whole[:40])
         written(tmp_path, discovery=f"127.0.0.1:{other.port}", **stated)
         for each in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             process.send_signal(each)
         assert await resting.reader.read() == b""  # it has stopped taking connections
         half.writer.write(whole[40:])
-        await until(lambda: sum(len(host.got) for host in hosts) == 2)
+        await until(lambda: sum(len(host.received) for host in hosts) == 2)
         release.set()
         for client in (taken, half):
             status, headers, body = await client.answer()
@@ -324,7 +324,7 @@
         process.send_signal(signal.SIGHUP)
         while b"unusable" not in await process.stderr.readline():
             pass
-        old.say(old.change(entry(host), full=True))
+        old.send_chunk(old.change(entry(host), full=True))
         assert (await client.ask())[0] == 200
 
         config(f"127.0.0.1:{new.port}")
@@ -334,7 +334,7 @@
         old.stop()  # no failure: it is not followed any more
         assert (await client.ask())[0] == 200  # the old list stands until the new one has answered
         process.send_signal(signal.SIGHUP)  # nothing new in it: what is followed goes on
-        new.say(new.change(entry(other), full=True))
+        new.send_chunk(new.change(entry(other), full=True))
         while (await client.ask())[2] != b"from g":
             pass
         assert len(new.calls) == 1
--- a/tests/proxy/test_signals.py
+++ b/tests/proxy/test_signals.py
@@ -25,7 +25,17 @@
 
 from client_proxy.fault_injection.child_process import handles_signal
 from client_proxy.process_signals import ProcessSignals
-from tests.proxy.sockets import Client, Got, Host, Registry, entry, http, run, start_process, until
+from tests.proxy.sockets import (
+    Client,
+    Host,
+    ReceivedRequest,
+    Registry,
+    entry,
+    http,
+    run,
+    start_process,
+    until,
+)
 from tests.proxy.test_program import connected, free_port, start, written
 from tests.proxy.test_run_line import ROOT, line
 from tests.support import guard
@@ -230,7 +240,7 @@
 ) -> None:
     release = asyncio.Event()
 
-    async def held(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await held_until(release, writer)
 
     async def test() -> None:
@@ -242,7 +252,7 @@
         assert (await resting.answer())[0] == 200
         client = await Client.connect(port)
         client.send()
-        await until(lambda: len(host.got) == 1)
+        await until(lambda: len(host.received) == 1)
         for number in numbers:
             process.send_signal(number)
         assert await resting.reader.read() == b""  # it has stopped taking connections
--- a/tests/proxy/test_stall.py
+++ b/tests/proxy/test_stall.py
@@ -27,7 +27,7 @@
         async with proxy(host) as made:
             client = await Client.connect(made.port)
             assert (await client.ask(UNSAFE_CLASS))[0] == 200  # the sweeps are on
-            before = len(host.got)
+            before = len(host.received)
             for number in range(50):
                 with socket.create_connection(("127.0.0.1", made.port)) as gone:
                     gone.sendall(request(number))
@@ -39,7 +39,7 @@
             answer = await asyncio.get_running_loop().sock_recv(waits, 4096)
             assert answer.startswith(b"HTTP/1.1 200"), answer
             assert (await client.ask(UNSAFE_CLASS))[0] == 200
-            sent = [got.headers["x-trace-id"] for got in host.got[before:]]
+            sent = [got.headers["x-trace-id"] for got in host.received[before:]]
             assert "stall1000" in sent
             assert not [id_ for id_ in sent if id_.startswith("stall") and id_ != "stall1000"], sent
             waits.close()
@@ -54,7 +54,7 @@
         async with proxy(host) as made:
             gone = socket.create_connection(("127.0.0.1", made.port))
             gone.sendall(request(1))
-            await until(lambda: len(host.got) == 1)  # begun although its client will leave
+            await until(lambda: len(host.received) == 1)  # begun although its client will leave
             gone.close()
 
     run(test())
--- a/tests/proxy/test_time_told.py
+++ b/tests/proxy/test_time_told.py
@@ -22,14 +22,14 @@
     KEYED_CLASS,
     UNSAFE_CLASS,
     Client,
-    Got,
     Host,
     Proxy,
+    ReceivedRequest,
     Registry,
     entry,
-    facts,
     http,
     run,
+    settings_json,
     until,
 )
 from tests.proxy.sockets import proxy as proxy_of
@@ -64,7 +64,7 @@
 
 def patient() -> dict[str, Any]:
     """Settings by which nothing but the clients' time ends a request."""
-    settings = facts()
+    settings = settings_json()
     for cls in settings["categories"]:
         cls["aim_ms"] = cls["deadline_ms"] = float(EXPIRES_MS)
         if "window_ms" in cls:
@@ -72,7 +72,7 @@
     return settings
 
 
-def told_ms(got: Got) -> int:
+def told_ms(got: ReceivedRequest) -> int:
     return int(got.headers["x-expires-in-ms"])
 
 
@@ -80,8 +80,8 @@
 def test_a_further_attempt_tells_what_is_left_then(late: str, monkeypatch: pytest.MonkeyPatch) -> None:
     with clock() as ahead:
 
-        async def failing(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
-            if sum(len(host.got) for host in hosts) > 1:
+        async def failing(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+            if sum(len(host.received) for host in hosts) > 1:
                 writer.write(http(200))
                 return
             if late in ("its answer", "all of them"):
@@ -109,7 +109,7 @@
                 client = await Client.connect(p.port)
                 assert (await client.ask(KEYED_CLASS, expires_ms=EXPIRES_MS))[0] == 200
                 first, further = sorted(
-                    (got for host in hosts for got in host.got), key=told_ms, reverse=True
+                    (got for host in hosts for got in host.received), key=told_ms, reverse=True
                 )
                 passed_ms = 3 * LATE_MS if late == "all of them" else LATE_MS
                 assert told_ms(first) <= EXPIRES_MS
@@ -125,7 +125,7 @@
     # They stayed in the system's hands until those before had their answers, and had all of their time then.
     with clock() as ahead:
 
-        async def held(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+        async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await release.wait()
             writer.write(http(200))
 
@@ -136,7 +136,7 @@
             async with proxy_of(host, settings=patient()) as p:
                 client = await Client.connect(p.port)
                 client.send(UNSAFE_CLASS, expires_ms=EXPIRES_MS)
-                await until(lambda: len(host.got) == 1)
+                await until(lambda: len(host.received) == 1)
                 (connection,) = p.listener.connections
                 for number in range(ahead_of_it):
                     client.send(UNSAFE_CLASS, body=b"x" * 2000, expires_ms=EXPIRES_MS)
@@ -145,8 +145,8 @@
                 release.set()
                 for _ in range(ahead_of_it + 1):
                     assert (await client.answer())[0] == 200
-                assert len(host.got) == ahead_of_it + 1
-                assert max(told_ms(got) for got in host.got[1:]) <= EXPIRES_MS - LATE_MS
+                assert len(host.received) == ahead_of_it + 1
+                assert max(told_ms(got) for got in host.received[1:]) <= EXPIRES_MS - LATE_MS
                 client.close()
 
         def come(connection: ClientConnection, count: int) -> bool:
@@ -169,7 +169,7 @@
                 client = await Client.connect(p.port)
                 # More than is parsed ahead, in one piece: reading is paused, and goes on.
                 many = b"".join(
-                    client.worded(UNSAFE_CLASS, expires_ms=EXPIRES_MS)
+                    client.encode_request(UNSAFE_CLASS, expires_ms=EXPIRES_MS)
                     for _ in range(3 * MAX_PIPELINED_REQUESTS)
                 )
                 client.writer.write(many)
@@ -177,7 +177,7 @@
                     assert (await client.answer())[0] == 200
                 ahead.pass_ms(LATE_MS)  # it rests
                 assert (await client.ask(UNSAFE_CLASS, expires_ms=EXPIRES_MS))[0] == 200
-                assert told_ms(host.got[-1]) > EXPIRES_MS - LATE_MS
+                assert told_ms(host.received[-1]) > EXPIRES_MS - LATE_MS
                 client.close()
 
         run(test())
@@ -213,9 +213,11 @@
         process.send_signal(signal.SIGCONT)
         assert (await client.answer())[0] == 200
         assert [
-            got.headers["x-trace-id"] for got in host.got if got.headers["x-trace-id"].startswith("stall")
+            got.headers["x-trace-id"]
+            for got in host.received
+            if got.headers["x-trace-id"].startswith("stall")
         ] == []
-        assert told_ms(host.got[-1]) <= 8000 - 1000 * stop_s + SLACK_MS
+        assert told_ms(host.received[-1]) <= 8000 - 1000 * stop_s + SLACK_MS
         process.send_signal(signal.SIGTERM)
         client.close()
         await process.communicate()
--- a/tests/proxy/test_told_in_time.py
+++ b/tests/proxy/test_told_in_time.py
@@ -22,7 +22,7 @@
 from client_proxy.proxy.engine import Engine
 from client_proxy.proxy.upstream_pool import UpstreamPool
 from client_proxy.settings import read_settings
-from tests.proxy.sockets import facts
+from tests.proxy.sockets import settings_json
 
 AT = ("127.0.0.1", 8500)
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -117,7 +117,7 @@
         network = MemoryNetwork(world)
         service = Service(world, network, way)
         machine = network.join(scheduler.new_loop("proxy"))
-        raw = facts()
+        raw = settings_json()
         raw["safety"]["must_ask_in_ms"] = max_poll_interval_ms
         raw["discovery"] = "subscribe" if asked else "automatic"
         settings = read_settings(raw)
@@ -198,7 +198,7 @@
         elsewhere_at = ("127.0.0.1", 8501)
         Elsewhere(world, network, elsewhere_at)
         machine = network.join(scheduler.new_loop("proxy"))
-        raw = facts()
+        raw = settings_json()
         raw["discovery"] = "subscribe" if asked else "automatic"
         settings = read_settings(raw)
         directory = EndpointDirectory()
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -17,7 +17,19 @@
 from client_proxy.proxy.upstream_connection import UpstreamConnection, UpstreamEndpoint
 from client_proxy.proxy.upstream_pool import UpstreamPool
 from client_proxy.settings import read_settings
-from tests.proxy.sockets import KEYED_CLASS, Client, Got, Host, Proxy, entry, facts, http, proxy, run, until
+from tests.proxy.sockets import (
+    KEYED_CLASS,
+    Client,
+    Host,
+    Proxy,
+    ReceivedRequest,
+    entry,
+    http,
+    proxy,
+    run,
+    settings_json,
+    until,
+)
 
 
 def request(expires_ms: float = 5000.0) -> ClientRequest:
@@ -28,7 +40,7 @@
 def upstream(
     drain_grace_ms: float = 1000.0, connect_timeout_ms: float = 250.0, most: int = 10
 ) -> UpstreamPool:
-    settings = read_settings(facts(connect_timeout_ms=connect_timeout_ms))
+    settings = read_settings(settings_json(connect_timeout_ms=connect_timeout_ms))
     return UpstreamPool(settings.limits, settings.report_fields, drain_grace_ms, most)
 
 
@@ -61,14 +73,14 @@
             client = await Client.connect(p.port)
             for _ in range(5):
                 assert (await client.ask())[0] == 200
-            assert (host.connections, len(host.got)) == (1, 5)
+            assert (host.connections, len(host.received)) == (1, 5)
             client.close()
 
     run(test())
 
 
 def test_connection_close_of_a_host_is_honoured() -> None:
-    async def closing(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def closing(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(http(200, b"x", Connection="close"))
 
     async def test() -> None:
@@ -107,7 +119,7 @@
 )
 def test_outcomes_of_answers(reply: bytes, outcome: Outcome) -> None:
     # A cut or malformed answer is never served; a 503 counts as unseen only if it says so.
-    async def answer(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def answer(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(reply)
         writer.close()
 
@@ -125,7 +137,7 @@
 @pytest.mark.parametrize("surplus", [http(200, b"ok"), http(200, b"no"), b"\x8d\xa8noise\r\n\r\n", b"H"])
 def test_whole_answer_is_served_whatever_follows_it(surplus: bytes, later: bool) -> None:
     # The parser's error at what followed threw the good answer away; what follows is nobody's answer.
-    async def answer(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def answer(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         body = got.headers["x-trace-id"].encode()
         if later:
             writer.write(http(200, body))
@@ -164,7 +176,7 @@
     ],
 )
 def test_answer_without_an_end_is_given_up(start: bytes, piece: bytes) -> None:
-    async def endless(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def endless(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(start)
         while piece:
             writer.write(piece)
@@ -180,7 +192,7 @@
 
 @pytest.mark.parametrize("value", ["nan", "inf", "-1", "1e999", "seven", "\xff"])
 def test_unusable_load_report_is_none_and_the_answer_is_served(value: str) -> None:
-    async def answer(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def answer(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         report = f"TEXT inflight={value}, queue=2, latency_ms=1"
         writer.write(b"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: " + report.encode("latin-1"))
         writer.write(b"\r\nContent-Length: 0\r\n\r\n")
@@ -193,7 +205,7 @@
 
 
 def test_load_reports_come_in_the_settings_order() -> None:
-    async def answer(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def answer(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         report = "TEXT latency_ms=14.5, inflight=7, util=0.6, queue=2"
         writer.write(http(200, b"", Endpoint_Load_Metrics=report))
 
@@ -216,7 +228,7 @@
 
 def test_silent_host_times_out_and_its_connection_is_closed() -> None:
     # An answer that comes later must not be taken for that of the next request.
-    async def silent(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def silent(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         pass
 
     async def test() -> None:
@@ -293,7 +305,7 @@
             assert attempt.dial is not None
             await until(lambda: bool(ended))
             assert ended[0].outcome is Outcome.OK
-            assert [got.connection for got in host.got] == [0, 1]
+            assert [got.connection for got in host.received] == [0, 1]
             client.close()
 
     run(test())
@@ -307,7 +319,7 @@
     # The host closes them at the stated time; a request that crosses that is reset.
     async def test() -> None:
         host = Host("h")
-        async with proxy(host, settings=facts(conn_idle_ms=100.0)) as p:
+        async with proxy(host, settings=settings_json(conn_idle_ms=100.0)) as p:
             client = await Client.connect(p.port)
             assert (await client.ask())[0] == 200
             await until(lambda: host.open == 0)
@@ -325,7 +337,7 @@
         async with proxy(host) as p:
             client = await Client.connect(p.port)
             assert (await client.ask())[0] == 200
-            p.registry.say(p.registry.change(entry(host, since_ms=1_000)))
+            p.registry.send_chunk(p.registry.change(entry(host, since_ms=1_000)))
             await until(lambda: host.open == 0)
             assert (await client.ask())[0] == 200
             assert host.connections == 2
@@ -338,11 +350,11 @@
     async def test() -> None:
         old, new = Host("h"), await Host("h").start()
         async with proxy(old) as p:
-            p.registry.say(p.registry.change(entry(new)))
+            p.registry.send_chunk(p.registry.change(entry(new)))
             await until(lambda: p.directory.addresses["h"][1] == new.port)
             client = await Client.connect(p.port)
             assert (await client.ask())[0] == 200
-            assert (len(old.got), len(new.got)) == (0, 1)
+            assert (len(old.received), len(new.received)) == (0, 1)
             client.close()
         new.stop()
 
@@ -361,14 +373,14 @@
         up.update_endpoint("h", ("127.0.0.1", host.port), None, False)
         await until(lambda: bool(ended))
         assert ended[0].outcome is (Outcome.OK if starts else Outcome.NOT_SENT)
-        assert len(host.got) == starts
+        assert len(host.received) == starts
         host.stop()
 
     run(test())
 
 
 def test_descriptors_are_bounded() -> None:
-    async def silent(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def silent(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         pass
 
     async def test() -> None:
@@ -377,7 +389,7 @@
         up.update_endpoint("h", ("127.0.0.1", host.port), None, True)
         ended: list[AttemptResult] = []
         attempts = [up.start_attempt(request(), "h", 10_000.0, ended.append) for _ in range(5)]
-        await until(lambda: len(host.got) == 3 and len(ended) == 2)
+        await until(lambda: len(host.received) == 3 and len(ended) == 2)
         assert {e.outcome for e in ended} == {Outcome.CONNECT_FAILED}
         for attempt in attempts:
             assert attempt is not None
@@ -435,7 +447,7 @@
     # One attempt for each send of the balancer's: nothing below it sends again by itself.
     first: list[str] = []
 
-    async def once_broken(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def once_broken(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         first.append(host.name)
         if len(first) == 1:
             writer.transport.abort()
@@ -454,7 +466,7 @@
 
 
 def test_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() -> None:
-    async def broken(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def broken(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
     async def test() -> None:
@@ -463,7 +475,7 @@
             client = await Client.connect(p.port)
             status, _, _ = await client.ask()
             assert status == 502
-            assert sum(len(h.got) for h in hosts) == 1
+            assert sum(len(h.received) for h in hosts) == 1
             client.close()
 
     run(test())
--- a/tests/proxy/test_whole_lists.py
+++ b/tests/proxy/test_whole_lists.py
@@ -15,9 +15,9 @@
     KEYED_CLASS,
     UNSAFE_CLASS,
     Client,
-    Got,
     Host,
     Proxy,
+    ReceivedRequest,
     entry,
     http,
     proxy,
@@ -39,7 +39,7 @@
 
 async def tell_whole(p: Proxy, *hosts: Host) -> None:
     """A whole list of these, and no others."""
-    p.registry.say(p.registry.change(*[entry(host) for host in hosts], full=True))
+    p.registry.send_chunk(p.registry.change(*[entry(host) for host in hosts], full=True))
     names = {host.name for host in hosts}
     await until(lambda: set(p.directory.entries) == names)
 
@@ -50,19 +50,19 @@
         left_out, stays = Host("a"), Host("b")
         async with proxy(left_out, stays) as p:
             client = await Client.connect(p.port)
-            while not (left_out.got and stays.got):
+            while not (left_out.received and stays.received):
                 assert (await client.ask(UNSAFE_CLASS))[0] == 200
             assert left_out.open  # a connection rests there
             if told == "draining":
-                p.registry.say(p.registry.change(entry(left_out, "draining")))
+                p.registry.send_chunk(p.registry.change(entry(left_out, "draining")))
                 await until(lambda: p.directory.entries["a"].state is EndpointState.DRAINING)
             await cut(p)
             await tell_whole(p, stays)
-            had = len(left_out.got)
+            had = len(left_out.received)
             for cls in (UNSAFE_CLASS, KEYED_CLASS) * (REQUESTS // 2):
                 assert (await client.ask(cls))[2] == b"from b"
             await until(lambda: not left_out.open)
-            assert (len(left_out.got), "a" in p.upstream.endpoints) == (had, False)
+            assert (len(left_out.received), "a" in p.upstream.endpoints) == (had, False)
             client.close()
 
     run(test())
@@ -72,7 +72,7 @@
     # It answers, badly, after the list: the repeat goes elsewhere, and where there is nobody else nowhere.
     release = asyncio.Event()
 
-    async def failing(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
+    async def failing(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(http(500))
 
@@ -81,7 +81,7 @@
         async with proxy(left_out, settings=patient()) as p:
             clients = [await Client.connect(p.port) for _ in range(2)]
             clients[0].send(KEYED_CLASS, expires_ms=600_000)
-            await until(lambda: len(left_out.got) == 1)
+            await until(lambda: len(left_out.received) == 1)
             await cut(p)
             await tell_whole(p, comes)
             release.set()
@@ -90,7 +90,7 @@
             release.clear()
             comes.answer = failing
             clients[1].send(KEYED_CLASS, expires_ms=600_000)
-            await until(lambda: len(comes.got) == 2)
+            await until(lambda: len(comes.received) == 2)
             await cut(p)
             await tell_whole(p)
             release.set()
@@ -99,7 +99,7 @@
             )  # its wait is over: nobody may have it
             p.engine.give_up()
             assert (await clients[1].answer())[0] == 502
-            assert (len(left_out.got), len(comes.got)) == (1, 2)
+            assert (len(left_out.received), len(comes.received)) == (1, 2)
             for client in clients:
                 client.close()
         comes.stop()
@@ -126,7 +126,7 @@
             client.send(UNSAFE_CLASS, expires_ms=600_000)
             # What never went out is refused: trying again is harmless.
             assert (await client.answer())[0] == (503 if late_ms else 200)
-            assert len(left_out.got) == (not late_ms)
+            assert len(left_out.received) == (not late_ms)
             client.close()
 
     with driven(lambda: time.monotonic() + ahead_s, time.time):
@@ -139,10 +139,10 @@
         gone, stays = Host("a"), Host("b")
         async with proxy(gone, stays) as p:
             client = await Client.connect(p.port)
-            while not (gone.got and stays.got):
+            while not (gone.received and stays.received):
                 assert (await client.ask(UNSAFE_CLASS))[0] == 200
             await cut(p)
-            p.registry.say(p.registry.change(entry(gone, "gone"), entry(stays), full=True))
+            p.registry.send_chunk(p.registry.change(entry(gone, "gone"), entry(stays), full=True))
             await until(lambda: set(p.directory.entries) == {"b"})
             await until(lambda: not gone.open)
             assert set(p.upstream.endpoints) == {"b"}
--- a/tests/test_noise.py
+++ b/tests/test_noise.py
@@ -12,10 +12,20 @@
 from hypothesis import strategies as st
 
 from client_proxy.proxy import listener
-from tests.proxy.sockets import UNSAFE_CLASS, Client, Got, Host, facts, http, proxy, run, until
+from tests.proxy.sockets import (
+    UNSAFE_CLASS,
+    Client,
+    Host,
+    ReceivedRequest,
+    http,
+    proxy,
+    run,
+    settings_json,
+    until,
+)
 from tests.support.fixed_draws import fixed_draws
 
-GOOD_REQUEST = Client.worded(None, X_Trace_Id="00", body=b"form")  # type: ignore[arg-type]
+GOOD_REQUEST = Client.encode_request(None, X_Trace_Id="00", body=b"form")  # type: ignore[arg-type]
 GOOD_ANSWER = http(200, b"body", Endpoint_Load_Metrics="TEXT inflight=1, queue=0, latency_ms=2")
 PIECES = [
     b"\r\n",
@@ -86,8 +96,8 @@
 @many
 @given(mutated(GOOD_ANSWER), CUTS, st.booleans())
 def test_whatever_a_host_answers(data: bytes, cuts: list[int], closes: bool) -> None:
-    async def answer(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
-        if len(host.got) > 1:
+    async def answer(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        if len(host.received) > 1:
             writer.write(http(200, got.headers["x-trace-id"].encode()))
             return
         for piece in split(data, cuts):
@@ -98,14 +108,14 @@
 
     async def test() -> None:
         host = Host("h", answer)
-        soon = facts()
+        soon = settings_json()
         for cls in soon["categories"]:
             cls["aim_ms"] = 400.0  # so that a request of 300 ms is not given up before it is sent
         async with proxy(host, settings=soon) as p:
             client = await Client.connect(p.port)
             status, _, _ = await client.ask(UNSAFE_CLASS, expires_ms=300)
             assert status in (200, 502, 503, 504)
-            assert len(host.got) == 1
+            assert len(host.received) == 1
             # What came behind a whole answer, but later than the next request, may spoil that one too.
             for number in range(2):
                 status, _, body = await client.ask(X_Trace_Id=f"next{number}")
