--- a/client_proxy/proxy/__init__.py
+++ b/client_proxy/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The client proxy: real sockets around the decisions of `client_proxy.balancer.balancer`."""
+"""The client proxy: sockets and timers around the decisions of `client_proxy.balancer.balancer`."""
--- a/client_proxy/proxy/__main__.py
+++ b/client_proxy/proxy/__main__.py
@@ -1,6 +1,7 @@
-"""`python -m client_proxy.proxy`: one client proxy, as the environment configures it.
+"""Entry point of `python -m client_proxy.proxy`: one client proxy, configured by the environment.
 
-Signals are handled before the program is imported, which takes longer than all before it.
+The signal handlers are installed before the program is imported, because the import is the longest part of
+the start.
 """
 
 from __future__ import annotations
--- a/client_proxy/proxy/client_connection.py
+++ b/client_proxy/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: its requests are read in order, and each gets one final answer."""
+"""One client connection: requests are read in order, and each gets one final response."""
 
 from __future__ import annotations
 
@@ -27,27 +27,28 @@
 from client_proxy.proxy.socket_state import SocketState
 from client_proxy.proxy.stall_detector import STALL_RECHECK_S
 
-# Parsed in one go, hundreds of requests would be queued complete: past this number the rest stays as it came.
+# Requests parsed ahead of their turn. Later bytes stay unparsed, so that one large read does not queue
+# hundreds of requests.
 MAX_PIPELINED_REQUESTS = 32
-PARSE_CHUNK_BYTES = 4096
-PAUSE_READING_BYTES = 64 * 1024  # bytes ahead of their turn, past which a connection is not read further
-MAX_DISCARDED_BYTES = 64 * 1024  # of what comes after a connection's last request
-UNKNOWN_CLASS = "(no such class)"  # requests that are rejected for their class are counted under it
-NOT_FORWARDED = (b"endpoint-load-metrics",)  # the endpoint's own figures, not for the client
+PARSE_CHUNK_BYTES = 4096  # bytes given to the parser at a time
+PAUSE_READING_BYTES = 64 * 1024  # bytes of pipelined requests; above this, reading is paused
+MAX_DISCARDED_BYTES = 64 * 1024  # bytes read and dropped after a connection's last request
+UNKNOWN_CLASS = "(no such class)"  # class name under which requests of an unknown class are counted
+NOT_FORWARDED = (b"endpoint-load-metrics",)  # the endpoint's load report is not for the client
 
 
 class ReadinessCheck:
-    """A request for `/ready`, which the proxy answers itself."""
+    """A readiness probe (`GET /ready`), which the proxy answers itself."""
 
 
 READINESS_CHECK = ReadinessCheck()
 
 Pipelined = ClientRequest | ReadinessCheck | BadRequestError
-"""What waits for its turn on a connection: a request, or the error that is its answer."""
+"""An entry of a connection's pipeline: a request, a readiness probe, or the error to answer with."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client: a request at a time, in order."""
+    """A client connection, which serves one request at a time, in order."""
 
     def __init__(
         self, context: ConnectionContext[ClientConnection], limits: ConnectionTracker[ClientConnection]
@@ -58,28 +59,29 @@
         self._transport: asyncio.Transport | None = None
         self._socket_state: SocketState | None = None
         self._pipeline: deque[Pipelined] = deque()
-        self._in_progress = False  # the request whose turn it is has no final answer yet
-        self._current_id: int | None = None  # its id at the engine
-        self._engine: Engine | None = None  # the one that accepted it: another may decide by now
+        self._in_progress = False  # the current request has no final response yet
+        self._current_id: int | None = None  # the current request's id at `_engine`
+        # The engine that accepted the current request; by now the engine of a later policy may be active.
+        self._engine: Engine | None = None
         self.writable = True
         self._phase = Phase.OPEN
-        self._unread = b""  # come, but not yet parsed
-        self._received_ms = 0.0  # when it came, at the earliest
-        self._unread_since_ms: float | None = None  # bytes that the system holds have come since then
-        self._discarded = 0  # bytes that came after the last request
-        self._counted_bytes = 0  # its part of the bytes that all connections hold ahead of their turn
-        self._has_sent_request = False  # it has sent a complete request
+        self._unread = b""  # received, but not yet parsed
+        self._received_ms = 0.0  # earliest time at which `_unread` may have arrived
+        self._unread_since_ms: float | None = None  # start of the read pause; unread bytes may be as old
+        self._discarded = 0  # bytes received after the last request
+        self._counted_bytes = 0  # its share of `ConnectionLimits.pipelined_bytes`
+        self._has_sent_request = False  # the client has sent a complete request
 
     @property
     def idle(self) -> bool:
-        """Between requests, with nothing of the next one read."""
+        """Whether the connection is between requests, with nothing of the next one read."""
         return (
             not self._in_progress and not self._pipeline and not self._parser.in_message and not self._unread
         )
 
     @property
     def state(self) -> ConnectionState:
-        """What the connection waits for now."""
+        """What the connection is waiting for."""
         ended = self._phase in (Phase.HALF_CLOSED, Phase.CLOSED)
         if ended or self._transport is None or self._transport.is_closing():
             return ConnectionState.CLOSING
@@ -94,15 +96,16 @@
     # Called by the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to serve the connection."""
+        """Start serving the connection."""
         # A cast, not a check: the transports of uvloop do not derive from asyncio.Transport.
         self._transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
-        self._socket_state = SocketState(sock) if sock is not None else None  # none on a network in memory
+        # An in-memory network has no sockets.
+        self._socket_state = SocketState(sock) if sock is not None else None
         self._context.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drop what the client was owed."""
+        """Drop pending requests and responses of the client."""
         self._phase = Phase.CLOSED
         self._pipeline.clear()
         self._unread = b""
@@ -114,37 +117,37 @@
             self._current_id = self._engine = None
 
     def data_received(self, data: bytes) -> None:
-        """Take the next bytes of the stream, and process them now or, after a stall, a little later."""
+        """Accept the next bytes of the stream; process them now or, after a stall, a little later."""
         if self._phase is not Phase.OPEN:
             self._discard(data)
             return
         if not self._unread:
-            self._received_ms = self._received_since_ms()
+            self._received_ms = self._arrival_ms()
         self._unread += data
         if self._context.stall_detector.recovering():
-            # After a stall a thousand requests whose clients have long gone would be sent to endpoints, ahead
-            # of those who still wait: that a client has left is read only after what it sent.
+            # A client's disconnect is read only after its request. Processed at once, a thousand requests
+            # whose clients left during the stall would be sent to endpoints, ahead of clients still waiting.
             asyncio.get_running_loop().call_later(STALL_RECHECK_S, self._process)
         else:
             self._process()
 
     def pause_writing(self) -> None:
-        """Give a client that does not read its answers no further ones, so that none pile up."""
+        """Stop answering a client that does not read its responses, so that they do not pile up in memory."""
         self.writable = False
         self._limits.state_changed(self)
 
     def resume_writing(self) -> None:
-        """Go on with what waits."""
+        """Continue with the pipelined requests."""
         self.writable = True
         self._process()
 
     # Reading
 
-    def _received_since_ms(self) -> float:
-        """Return when what has just been read came, as far as is known.
+    def _arrival_ms(self) -> float:
+        """Return the earliest time at which the bytes just read may have arrived.
 
-        Counted from the moment of reading, bytes that waited in the system's buffers would be given more
-        time than their client has left.
+        Bytes may have waited in the kernel's buffers. Counting a deadline from the read would grant a request
+        more time than its client still waits.
         """
         unread_since_ms = self._unread_since_ms
         stalled_since_ms = self._context.stall_detector.stalled_since_ms()
@@ -156,14 +159,15 @@
         return now_ms()
 
     def _clear_unread_since(self) -> None:
-        """Once the system holds nothing more, what comes next has just come."""
+        """Forget the start of the read pause once the kernel holds no more bytes."""
         if self._socket_state is None or not self._socket_state.has_unread_data():
             self._unread_since_ms = None
 
     def _discard(self, data: bytes) -> None:
-        """Count bytes after the last request, and stop reading past the limit.
+        """Count and drop bytes after the last request; past the limit, stop reading.
 
-        A client that sends on and on would be read for ever, or never get the answer that is due to it.
+        Without the limit a client that never stops sending would be read forever, or would delay the
+        responses that are still pending.
         """
         self._discarded += len(data)
         if self._discarded <= MAX_DISCARDED_BYTES or self._transport is None:
@@ -171,18 +175,19 @@
         if self._phase is Phase.HALF_CLOSED:
             self.abort()
         elif self._phase is Phase.FINISHING:
-            self._transport.pause_reading()  # until the answers that are due are out
+            self._transport.pause_reading()  # `_half_close` resumes it once the pending responses are written
 
     def _process(self) -> None:
-        """Parse what has come, and take up the next request."""
+        """Parse the received bytes, and start the next request."""
         if self._transport is None:
             return
         self._parse()
-        self._take_next()
+        self._start_next_request()
         if self._count_pipelined() and self._limits.too_many_pipelined_bytes():
-            # Many clients that send much at once would take all of the memory. What is parsed is answered.
+            # Many clients pipelining large bodies at once would exhaust the memory. Parsed requests are still
+            # answered.
             self._reject(BadRequestError(413, "too much ahead of its turn"))
-            self._take_next()
+            self._start_next_request()
             self._count_pipelined()
         self._throttle_reading()
         self._limits.state_changed(self)
@@ -196,30 +201,30 @@
                 self._reject(error)
 
     def _reject(self, error: BadRequestError) -> None:
-        """Answer the error when its turn comes, and read no further."""
+        """Queue an error response behind the pending ones, and read no further requests."""
         if self._phase is not Phase.OPEN:
             return
         on_request_ended = self._context.engine.on_request_ended
         if on_request_ended is not None and error.status == 404:
-            # A policy that lacks a class rejects all of its requests: uncounted, it would look as good as
-            # the policy before.
+            # A policy that lacks a class rejects all requests of it. If these were not counted, canary
+            # analysis would rate it as good as the previous policy.
             on_request_ended(UNKNOWN_CLASS, False)
         self._pipeline.append(error)
         self._stop_reading_requests()
 
     def _throttle_reading(self) -> None:
-        """Pause reading while requests are ahead of their turn.
+        """Pause reading while too much is pipelined, and note when the pause began.
 
-        They are not read on and on, but as they come: the time that they wait counts.
+        Time that requests spend in the kernel's buffers during the pause counts against their deadlines.
         """
         if self._transport is None or self._transport.is_closing():
             return
-        ahead = (
+        must_pause = (
             len(self._pipeline) >= MAX_PIPELINED_REQUESTS
             or self._counted_bytes > PAUSE_READING_BYTES
             or bool(self._unread)
         )
-        if ahead or not self.writable:
+        if must_pause or not self.writable:
             if self._unread_since_ms is None:
                 self._unread_since_ms = now_ms()
             self._transport.pause_reading()
@@ -228,19 +233,19 @@
             self._transport.resume_reading()
 
     def _count_pipelined(self) -> int:
-        """Return the bytes that it holds ahead of their turn, and report the change to the limits."""
-        ahead = len(self._unread)
-        for waiting in self._pipeline:
-            if isinstance(waiting, ClientRequest):
-                ahead += len(waiting.body)
-        self._limits.add_pipelined_bytes(ahead - self._counted_bytes)
-        self._counted_bytes = ahead
-        return ahead
+        """Return the pipelined bytes of this connection, and report the change to the limits."""
+        pipelined_bytes = len(self._unread)
+        for queued in self._pipeline:
+            if isinstance(queued, ClientRequest):
+                pipelined_bytes += len(queued.body)
+        self._limits.add_pipelined_bytes(pipelined_bytes - self._counted_bytes)
+        self._counted_bytes = pipelined_bytes
+        return pipelined_bytes
 
     # Called by the parser
 
     def continue_expected(self) -> None:
-        """Allow the client to send the body that it holds back, unless an earlier answer is still due."""
+        """Send 100 Continue for a body that the client holds back, unless an earlier response is pending."""
         if self._transport is not None and not self._in_progress:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -257,25 +262,25 @@
             self._context.trace_ids.register(request.trace_id)
             self._pipeline.append(request)
         if not parsed.keep_alive:
-            self._stop_reading_requests()  # what follows is nobody's request
+            self._stop_reading_requests()  # bytes after the last request are no request
 
-    # Answers
+    # Responses
 
-    def _take_next(self) -> None:
-        """Take up the next request, once the one before has its answer and that is under way."""
+    def _start_next_request(self) -> None:
+        """Start the next request, once the previous one is answered and its response can be written."""
         while self._pipeline and not self._in_progress and self.writable:
-            waiting = self._pipeline.popleft()
+            queued = self._pipeline.popleft()
             self._in_progress = True
-            if isinstance(waiting, BadRequestError):
+            if isinstance(queued, BadRequestError):
                 self._pipeline.clear()
-                self._answer(waiting.status, [], str(waiting).encode())
-            elif isinstance(waiting, ReadinessCheck):
+                self._answer(queued.status, [], str(queued).encode())
+            elif isinstance(queued, ReadinessCheck):
                 self._answer(200 if self._context.ready() and self._context.has_lease() else 503, [], b"")
-            elif not self._context.has_lease() or self._context.gives_up:
+            elif not self._context.has_lease() or self._context.rejects_new_requests:
                 self.reject(0.0)
             else:
                 self._engine = self._context.engine
-                self._current_id = self._engine.accept(waiting, self)
+                self._current_id = self._engine.accept(queued, self)
 
     def _answer(self, status: int, headers: Headers, body: bytes) -> None:
         if not self._in_progress:
@@ -285,68 +290,68 @@
         transport = self._transport
         if transport is None or transport.is_closing():
             return
-        last = self._is_last_answer()
-        transport.write(encode_response(status, headers, body, last))
-        if last:
+        is_last = self._closes_after_answer()
+        transport.write(encode_response(status, headers, body, is_last))
+        if is_last:
             self._half_close()
         elif self._pipeline or self._unread:
             asyncio.get_running_loop().call_soon(self._process)
         self._limits.state_changed(self)
 
-    def _is_last_answer(self) -> bool:
-        """Whether the connection ends with the answer that goes out now."""
+    def _closes_after_answer(self) -> bool:
+        """Whether to close the connection after the response that is written now."""
         closing = self._phase is Phase.FINISHING or self._limits.should_close_connections()
-        last = closing and not self._pipeline and not self._unread
-        if last and self._phase is Phase.OPEN and self._socket_state is not None:
-            # A complete request that has come, and is not read yet, would be lost with the connection.
+        is_last = closing and not self._pipeline and not self._unread
+        if is_last and self._phase is Phase.OPEN and self._socket_state is not None:
+            # A complete request that waits unread in the kernel would be lost with the connection.
             return not self._socket_state.has_unread_data()
-        return last
+        return is_last
 
-    def send_response(self, answer: UpstreamResponse) -> None:
-        """Answer the current request with an endpoint's response."""
-        self._answer(200, end_to_end_headers(answer.headers, NOT_FORWARDED), answer.body)
+    def send_response(self, response: UpstreamResponse) -> None:
+        """Answer the current request with the response of an endpoint."""
+        self._answer(200, end_to_end_headers(response.headers, NOT_FORWARDED), response.body)
 
     def reject(self, retry_after_ms: float) -> None:
-        """Answer that the current request did not run; 0: without a time after which to retry."""
+        """Answer 503: the current request did not run. `retry_after_ms` 0: without Retry-After."""
         headers = [(b"Retry-After", b"%.3f" % (retry_after_ms / 1000.0))] if retry_after_ms > 0 else []
         self._answer(503, headers, b"")
 
     def fail(self, status: int) -> None:
-        """Answer that the current request has failed."""
+        """Answer the current request with an error status; it may have run."""
         self._answer(status, [], b"")
 
     def client_gone(self) -> bool:
-        """Whether the client has left, as far as the system knows at this moment."""
+        """Whether the client has disconnected, as the kernel knows it now. Closes the connection then."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return True
         if self._socket_state is None or not self._socket_state.peer_closed():
             return False
-        self.abort()  # while reading is paused nothing else would end it
+        self.abort()  # while reading is paused, nothing else would notice the disconnect
         return True
 
     # The end of the connection
 
     def close_idle(self) -> None:
-        """End the connection if it is between requests, with nothing of a next one on hand."""
+        """Close the connection if it is between requests and no byte of a next one has arrived."""
         if not self.idle or self._phase is not Phase.OPEN:
             return
         if self._socket_state is None or not self._socket_state.has_unread_data():
             self._half_close()
 
     def request_timed_out(self) -> None:
-        """End a connection on which no complete request has come in time.
+        """Close a connection on which no complete request arrived in time.
 
-        A client that has sent a part of one is answered so.
+        A client that has sent a part of a request is answered 408 first.
         """
         if self._parser.in_message and self._phase is Phase.OPEN:
             self._reject(BadRequestError(408, "the request did not come to its end"))
-            self._take_next()
+            self._start_next_request()
         else:
             self.close_idle()
 
     def abort(self) -> None:
-        """Close the connection at once, whatever it is owed."""
+        """Close the connection at once, without the pending responses."""
         if self._transport is not None:
             self._phase = Phase.CLOSED
             self._transport.abort()
@@ -357,10 +362,10 @@
         self._unread = b""
 
     def _half_close(self) -> None:
-        """End our side, and discard what comes until the client ends its own.
+        """Shut down the write side, and discard further bytes until the client closes its side.
 
-        Closing a socket over bytes that nobody has read resets the connection, and an answer that the client
-        has not taken yet would be lost with it. Limits on bytes and time bound the wait.
+        Closing a socket with unread bytes resets the connection, and a response that the client has not read
+        yet would be lost. Limits on bytes and time bound the wait.
         """
         transport = self._transport
         if transport is None or transport.is_closing():
--- a/client_proxy/proxy/connection_context.py
+++ b/client_proxy/proxy/connection_context.py
@@ -1,4 +1,4 @@
-"""What one client connection knows of the listener and of the limits over all connections, and its states."""
+"""The states of a client connection, and the interfaces through which it uses listener and limits."""
 
 from __future__ import annotations
 
@@ -12,59 +12,59 @@
 from client_proxy.proxy.trace_ids import TraceIds
 
 ConnectionT = TypeVar("ConnectionT", contravariant=True)
-"""The kind of connection that is tracked."""
+"""The type of the tracked connections."""
 
 
 class Phase(Enum):
-    """What a connection still does. It only ever goes on to a later phase."""
+    """The phases of a connection's life, in order; a connection never returns to an earlier one."""
 
     OPEN = "open"  # requests are read and answered
-    FINISHING = "finishing"  # no further request is read: pending ones are answered, then it ends
-    HALF_CLOSED = "half_closed"  # our side is shut: what comes is discarded until the client ends its own
+    FINISHING = "finishing"  # no further request is read; pending ones are answered, then it closes
+    HALF_CLOSED = "half_closed"  # write side shut down; bytes are discarded until the client closes
     CLOSED = "closed"
 
 
 class ConnectionState(Enum):
-    """What a connection waits for, as the limits over all connections go by it."""
+    """What a connection is waiting for; `ConnectionLimits` and the timeouts go by it."""
 
-    AWAITING_REQUEST = "awaiting_request"  # a complete request is due: none, or a part of one, has come
+    AWAITING_REQUEST = "awaiting_request"  # none, or a part, of the next request has arrived
     BUSY = "busy"  # a request is pending
     IDLE = "idle"  # between requests
-    WRITE_BLOCKED = "write_blocked"  # its client does not take the answers that are written
-    CLOSING = "closing"  # closed, with its last answer perhaps still to be taken
+    WRITE_BLOCKED = "write_blocked"  # the client does not read its responses
+    CLOSING = "closing"  # closing; the client may not have read the last response yet
 
 
 class ConnectionTracker(Protocol[ConnectionT]):
-    """The limits over all connections, as far as one connection knows them."""
+    """The part of `ConnectionLimits` that a connection uses."""
 
     def connection_closed(self, connection: ConnectionT) -> None:
         """Forget a connection."""
 
     def state_changed(self, connection: ConnectionT) -> None:
-        """Take note that the connection's state may be another one now."""
+        """Update the record of a connection whose state may have changed."""
 
     def add_pipelined_bytes(self, count: int) -> None:
-        """Take note of so many bytes more, or fewer, that wait for their turn."""
+        """Add to the pipelined bytes of all connections; a negative count subtracts."""
 
     def too_many_pipelined_bytes(self) -> bool:
-        """Whether all connections together hold too much that waits for its turn."""
+        """Whether the pipelined bytes of all connections exceed their limit."""
 
     def should_close_connections(self) -> bool:
-        """Whether the next answer should be its connection's last."""
+        """Whether connections should be closed after their next response."""
 
 
 class ConnectionContext(Protocol[ConnectionT]):
-    """The listener, as far as its connections know it."""
+    """The part of the listener that its connections use."""
 
     engine: Engine
     settings: Settings
     ready: Callable[[], bool]
     trace_ids: TraceIds
     stall_detector: StallDetector
-    gives_up: bool  # the process is about to end: what is not yet under way is rejected
+    rejects_new_requests: bool  # the process is about to exit: requests not yet started are rejected
 
     def connection_opened(self, connection: ConnectionT) -> None:
-        """Count a connection, and close one where there are too many."""
+        """Register a connection, and close one if there are too many."""
 
     def has_lease(self) -> bool:
-        """Whether anything may be decided at this moment."""
+        """Whether this instance holds the lease that it needs to decide; true where none is needed."""
--- a/client_proxy/proxy/daemon.py
+++ b/client_proxy/proxy/daemon.py
@@ -1,7 +1,7 @@
-"""One daemon put together from its parts: start, move to another discovery, change of policy, shutdown.
+"""Assembles one proxy daemon: start, change of discovery address, change of policy, graceful shutdown.
 
-Signals, the environment and the kind of event loop are the caller's: `__main__` for the program, the
-emulator for a simulation, the tests for theirs.
+The caller provides signal handling, configuration and event loop: `program` for the proxy process, the
+emulator for a simulation, and tests.
 """
 
 from __future__ import annotations
@@ -34,68 +34,70 @@
 
 log = logging.getLogger(__name__)
 
-# After SIGTERM new connections go on coming for up to 0.4 s.
+# Clients may still open connections for up to 0.4 s after SIGTERM.
 ACCEPT_GRACE_S = 0.5
-# Then what was accepted is finished: each request by its own deadline. SIGKILL comes 0.7 s after the longest
-# deadline at the soonest, counted from SIGTERM.
+# After the accept grace, pending requests have the longest deadline plus this margin to finish. SIGKILL
+# follows 0.7 s after the longest deadline at the earliest, counted from SIGTERM.
 FINISH_MARGIN_S = 0.05
-MAX_RETIRED_ENGINES = 8  # policy versions that requests still end by, beside the one that decides
-MIN_CONNECTIONS = 12
-UPSTREAM_QUOTA_DIVISOR = 3  # connections to endpoints take this part of the descriptors
-CLIENT_QUOTA_DIVISOR = 3  # one client process holds this part of the descriptors at most
-IDLE_QUOTA_DIVISOR = 3  # and this part of its connections may be idle
-RESERVED_DESCRIPTORS = 64  # for the loop, discovery, logs and connections about to close
+MAX_RETIRED_ENGINES = 8  # earlier policy versions that still have pending requests
+MIN_CONNECTIONS = 12  # connections that are allowed however few descriptors there are
+UPSTREAM_QUOTA_DIVISOR = 3  # part of the descriptors for connections to endpoints
+CLIENT_QUOTA_DIVISOR = 3  # part of the descriptors that one client process may use
+IDLE_QUOTA_DIVISOR = 3  # part of one client process's connections that may be idle
+RESERVED_DESCRIPTORS = 64  # for event loop, discovery, logs and closing connections
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionQuota:
-    """How many connections there may be."""
+    """Limits on the number of connections."""
 
     upstream_connections: int  # to endpoints
     client_connections: int
-    max_idle: int  # of clients, between two requests
+    max_idle: int  # client connections between two requests
 
 
 def connection_quota(sockets: int) -> ConnectionQuota:
-    """Return the quota for so many descriptors.
+    """Divide a number of socket descriptors between clients and endpoints.
 
-    Clients get the larger part: in an overload those that were rejected come back on many connections at
-    once, while endpoints take few of ours.
+    Clients get the larger part: in an overload, rejected clients return on many connections at once, while
+    few connections to endpoints are needed.
     """
-    most = max(MIN_CONNECTIONS, sockets - RESERVED_DESCRIPTORS)
-    upstream = most // UPSTREAM_QUOTA_DIVISOR
-    return ConnectionQuota(upstream, most - upstream, sockets // CLIENT_QUOTA_DIVISOR // IDLE_QUOTA_DIVISOR)
+    available = max(MIN_CONNECTIONS, sockets - RESERVED_DESCRIPTORS)
+    upstream = available // UPSTREAM_QUOTA_DIVISOR
+    return ConnectionQuota(
+        upstream, available - upstream, sockets // CLIENT_QUOTA_DIVISOR // IDLE_QUOTA_DIVISOR
+    )
 
 
 class EndpointSource(Protocol):
-    """What lists endpoints: a discovery service, or a file."""
+    """Provides the endpoint list: a discovery service, or a file."""
 
     def start(self) -> None:
-        """Begin to follow the list."""
+        """Start following the list."""
 
     def subscribe(self) -> None:
-        """Ask for the changes missed, and for all that follow."""
+        """Request all changes since the last known list, and subscribe to later ones."""
 
     def move(self, address: Address) -> None:
-        """Follow the service at another address from now on."""
+        """Switch to the discovery service at another address."""
 
     def stop(self) -> None:
-        """Follow nothing any more."""
+        """Stop following the list."""
 
 
 def with_connection_bounds(
     settings: Settings, operators: Operators, seed: int, connections: int
 ) -> tuple[Settings, IdleTimeout | None]:
-    """Apply what operators state of connections to the settings.
+    """Apply the operators' connection limits to the settings.
 
     Args:
         settings: Settings of a policy.
-        operators: What operators state beside them.
-        seed: Seed of the random numbers that spread the idle timeouts.
-        connections: How many connections to endpoints there are descriptors for.
+        operators: The operators' configuration.
+        seed: Seed of the jitter of idle timeouts.
+        connections: Number of connections to endpoints that the descriptors allow.
 
     Returns:
-        The settings within these bounds, and what decides on idle timeouts, if operators bound them.
+        The settings with these limits, and the idle timeout policy if the operators configure connections.
     """
     if operators.connections is not None and operators.connections.max_connections is not None:
         connections = min(connections, operators.connections.max_connections)
@@ -103,23 +105,23 @@
     if operators.connections is None:
         return settings, None
     idle_timeout = IdleTimeout(operators.connections, settings.limits.connection_idle_timeout_ms, seed)
-    # Decisions go by when a connection is closed at the latest, whoever closes it.
+    # The balancer needs the longest time that a connection stays open, whichever side closes it.
     limits = replace(settings.limits, connection_idle_timeout_ms=max(1.0, idle_timeout.stated_timeout_ms))
     return replace(settings, limits=limits), idle_timeout
 
 
 EndpointSourceFactory = Callable[[EndpointDirectory, Callable[[EndpointsListed], None]], EndpointSource]
-"""Makes a source that keeps a directory, and reports each list and watch event to a callback."""
+"""Makes an endpoint source that updates the directory and passes each list or watch event to the callback."""
 
 
 class Daemon:
-    """All of one client proxy but its process. Made and used inside a running event loop.
+    """One client proxy without its process. Must be created and used inside a running event loop.
 
     Attributes:
-        engine: Decides what comes.
-        retired: Engines of earlier policy versions, with requests still pending.
-        directory: The endpoint list that `engine` decides by.
-        changes: How often the policy has changed.
+        engine: The engine of the current policy version, which accepts new requests.
+        retired: Engines of earlier policy versions that still have pending requests.
+        directory: The endpoint list of `engine`.
+        changes: Number of policy changes so far.
     """
 
     def __init__(
@@ -132,27 +134,27 @@
         endpoint_source: EndpointSourceFactory | None = None,
         persistent_hooks: Sequence[BalancerHook] = (),
     ) -> None:
-        """Put a daemon together.
+        """Assemble a daemon.
 
         Args:
-            config: What the platform configures.
-            make_socket: Makes the sockets to endpoints; replaced on a network in memory.
-            quota: How many connections there may be; None: by the configured number of descriptors.
-            operators: What operators state beside the settings.
+            config: The platform's configuration.
+            make_socket: Makes the sockets to endpoints; replaced on an in-memory network.
+            quota: Limits on connections; None: derived from the configured number of descriptors.
+            operators: The operators' configuration.
             gossip: Shares observations of endpoints with other instances.
-            endpoint_source: Makes what lists endpoints, in the place of a discovery service.
-            persistent_hooks: Hooks that outlive a balancer.
+            endpoint_source: Makes an endpoint source that replaces the discovery service.
+            persistent_hooks: Policy hooks that stay when the balancer is replaced.
 
         Raises:
-            ValueError: There is neither a discovery service nor an endpoint source.
+            ValueError: There is neither a discovery address nor an endpoint source.
         """
         quota = quota or connection_quota(config.sockets)
-        self._connections = quota.upstream_connections
+        self._upstream_connection_limit = quota.upstream_connections
         settings, idle_timeout = with_connection_bounds(
             config.settings, operators, config.seed, quota.upstream_connections
         )
         self._seed, self._operators, self._idle_timeout = config.seed, operators, idle_timeout
-        self._listen_at = config.listen
+        self._listen_address = config.listen
         self.settings = settings
         self.directory = EndpointDirectory()
         self.upstream = UpstreamPool(
@@ -183,7 +185,7 @@
         if factory is not None:
             return factory(self.directory, self.engine.notify_endpoints)
         if config.discovery is None:
-            raise ValueError("no discovery service, and nothing in its place")
+            raise ValueError("no discovery address is configured, and no endpoint source replaces it")
         return Discovery(
             config.discovery, self.settings.subscribe, self.directory, self.engine.notify_endpoints
         )
@@ -192,11 +194,11 @@
         try:
             self.engine.notify_endpoints(self.directory.apply(known, restored=True))
         except ValueError as error:
-            log.warning("the known list is unusable: %s", error)
+            log.warning("configuration: known: the endpoint list is ignored: %s", error)
 
     async def start(self) -> int:
-        """Listen, and follow discovery. Returns the port; raises OSError if it can't be had."""
-        port = await self.listener.listen(*self._listen_at)
+        """Start listening and following the endpoint list. Returns the port; raises OSError."""
+        port = await self.listener.listen(*self._listen_address)
         self.engine.start()
         self.discovery.start()
         if self.gossip is not None:
@@ -210,25 +212,25 @@
         message: Json,
         persistent_hooks: Sequence[BalancerHook] = (),
     ) -> None:
-        """Let another policy version decide on requests that come from now on.
+        """Switch to another policy version for new requests.
 
-        Pending requests end by the version that they began with. All is made aside first; then one reference
-        moves.
+        Pending requests finish under the version that accepted them. The new version is built completely
+        before the switch, so a failure leaves the old one in place.
 
         Args:
             settings: Settings of the version.
-            operators: What operators state beside them.
-            message: The complete endpoint list of the version, as discovery writes it.
-            persistent_hooks: Hooks of the version that outlive a balancer.
+            operators: The operators' configuration of the version.
+            message: The complete endpoint list of the version, as a discovery message.
+            persistent_hooks: Policy hooks of the version that stay when the balancer is replaced.
 
         Raises:
-            ValueError: The message is no endpoint list; the earlier version stands.
+            ValueError: The message is not an endpoint list; the current version stays.
         """
         bounded_settings, idle_timeout = with_connection_bounds(
-            settings, operators, self._seed, self._connections
+            settings, operators, self._seed, self._upstream_connection_limit
         )
         if operators.connections == self._operators.connections and idle_timeout is not None:
-            idle_timeout = self._idle_timeout  # what it has learned of the endpoints' limits goes on
+            idle_timeout = self._idle_timeout  # keeps what it has learned of the endpoints' connection limits
         directory = EndpointDirectory(self.directory)
         event = directory.apply(message)
         predecessor = self.engine
@@ -241,8 +243,9 @@
         engine.on_request_ended = predecessor.on_request_ended
         engine.discovery = self.discovery
         if len(self.retired) >= MAX_RETIRED_ENGINES:
-            # Policies that change faster than requests end would pile up, each with a complete balancer.
-            self.retired[0].give_up()
+            # If policies change faster than requests finish, the oldest engine fails its pending requests;
+            # otherwise engines would pile up, each with a complete balancer.
+            self.retired[0].fail_pending()
         engine.retired_endpoint_names = self._retired_endpoint_names
         self.retired.append(predecessor)
         self.upstream.apply_limits(bounded_settings.limits, idle_timeout)
@@ -260,26 +263,28 @@
         return {name for engine in self.retired for name in engine.endpoint_names}
 
     def _engine_drained(self, engine: Engine) -> None:
-        """Forget a retired engine, whose last request has its answer."""
+        """Remove a retired engine whose last pending request has finished."""
         if engine in self.retired:
             self.retired.remove(engine)
             self.upstream.retain_endpoints(self.engine.endpoint_names, self._retired_endpoint_names())
 
-    def _give_up(self) -> None:
+    def _fail_pending(self) -> None:
         for engine in (*self.retired, self.engine):
-            engine.give_up()
+            engine.fail_pending()
 
     def move(self, discovery: Address) -> None:
         """Follow the discovery service at another address from now on."""
         self.discovery.move(discovery)
 
     async def shut_down(self, accept_grace_s: float = ACCEPT_GRACE_S) -> None:
-        """Serve on for `accept_grace_s` seconds, finish what is pending, and stop."""
+        """Shut down gracefully: serve for `accept_grace_s` seconds, finish pending requests, and stop."""
         classes = (cls for engine in (self.engine, *self.retired) for cls in engine.classes)
         longest_ms = max((cls.deadline_ms for cls in classes), default=DEFAULT_DEADLINE_MS)
         if self.gossip is not None:
             self.gossip.leave()
-        await self.listener.shut_down(accept_grace_s, longest_ms / 1000.0 + FINISH_MARGIN_S, self._give_up)
+        await self.listener.shut_down(
+            accept_grace_s, longest_ms / 1000.0 + FINISH_MARGIN_S, self._fail_pending
+        )
         self.discovery.stop()
         if self.gossip is not None:
             self.gossip.close()
--- a/client_proxy/proxy/dialling.py
+++ b/client_proxy/proxy/dialling.py
@@ -1,4 +1,4 @@
-"""Opens connections to endpoints within the limit on descriptors."""
+"""Opens connections to endpoints, limited by connection slots."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from client_proxy.proxy.upstream_connection import ConnectionOwner, UpstreamConnection, UpstreamEndpoint
 
 OpenSocket = Callable[[int], socket.socket]
-"""Makes a stream socket of an address family that is not connected and never blocks."""
+"""Makes an unconnected, non-blocking stream socket of an address family."""
 
 
 def open_socket(family: int) -> socket.socket:
-    """Return a stream socket that is not connected and never blocks."""
+    """Return an unconnected, non-blocking stream socket."""
     return socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
 
 class Dialler:
-    """Opens connections; each holds a slot from before its dial until its descriptor is closed."""
+    """Opens connections; each holds a connection slot from before its dial until its descriptor is closed."""
 
     def __init__(self, slots: ConnectionSlots, make_socket: OpenSocket) -> None:
         self._slots = slots
         self.make_socket = make_socket
-        self.connect_timeout_s = 0.0  # the owner sets it from the settings, and again when they change
+        self.connect_timeout_s = 0.0  # set by the owner from the settings, on each change
 
     async def acquire_slot(self) -> bool:
-        """Take a slot, waiting for one at most as long as a connect may take. False: none came free."""
+        """Take a slot, waiting at most the connect timeout. Returns False if none became free."""
         if self._slots.try_acquire():
             return True
         try:
@@ -42,10 +42,10 @@
     async def connect(
         self, owner: ConnectionOwner, endpoint: UpstreamEndpoint, attempt: UpstreamAttempt
     ) -> UpstreamConnection | None:
-        """Connect to an endpoint, with a slot that has been taken.
+        """Connect to an endpoint; the caller has taken a slot for it.
 
-        Returns None when that failed, the attempt has ended by then and the slot is given back. Raises
-        CancelledError, with the slot given back, when the attempt was cancelled meanwhile.
+        Returns None if the connect failed; the attempt has then ended and the slot is released. Raises
+        CancelledError, with the slot released, if the attempt is cancelled meanwhile.
         """
         connected: UpstreamConnection | None = None
         created: UpstreamConnection | None = None
@@ -63,7 +63,7 @@
         except (OSError, TimeoutError):
             attempt.end(Outcome.CONNECT_FAILED)
         finally:
-            if connected is None:  # failed or cancelled: the descriptor must not stay behind
+            if connected is None:  # failed or cancelled: the descriptor must not leak
                 if created is None:
                     self._slots.release()
                 else:
--- a/client_proxy/proxy/engine.py
+++ b/client_proxy/proxy/engine.py
@@ -1,4 +1,4 @@
-"""Drives one `Balancer`: events in, actions out. The one place that calls `handle`."""
+"""Runs one `Balancer`: passes events to it and executes its actions. Only this module calls `handle`."""
 
 from __future__ import annotations
 
@@ -49,33 +49,34 @@
 
 log = logging.getLogger(__name__)
 
-# The client stops waiting at its deadline: the balancer is given an earlier one, and if it has not ended the
-# request by then, the proxy does, still before the client's time is out.
+# A client stops waiting at its deadline. The balancer gets a deadline that is earlier by the first margin; if
+# it has not ended the request by then, a guard timer answers the client earlier by the second.
 BALANCER_MARGIN_MS = 15.0
 GUARD_MARGIN_MS = 8.0
-CLIENT_RETRY_DEADLINES = 2.0  # clients are taken to retry for so many times the longest deadline
-BALANCER_RESTART_DELAY_S = 0.1  # between a failure of the decisions and their new beginning
-TIMER_RECHECK_S = 0.001
+CLIENT_RETRY_DEADLINES = 2.0  # longest deadlines for which requests are remembered to detect client retries
+BALANCER_RESTART_DELAY_S = 0.1  # between a failure in the balancer and its restart
+TIMER_RECHECK_S = 0.001  # delay of a timer that the loop ran too early
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class EndpointSubscriber(Protocol):
-    """What lists endpoints, as far as the engine knows it."""
+    """The part of an endpoint source that the engine uses."""
 
     def subscribe(self) -> None:
-        """Ask for the changes missed, and for all that follow."""
+        """Request all changes since the last known list, and subscribe to later ones."""
 
 
 class Engine:
     """One balancer, its timers and its pending requests.
 
     Attributes:
-        balancer: Decides. It is made anew should it fail.
-        discovery: Carries out the balancer's subscriptions.
-        restore_snapshot: Gives a balancer what an earlier process had learned; called with the first list.
-        retired_endpoint_names: Names the endpoints of earlier lists that are still in use.
-        on_request_ended: Called for each request that ends with an answer: its class; was it served in time?
-        has_lease: Whether anything may be decided at this moment; None: always.
+        balancer: Makes the decisions; replaced by a new one if it raises an exception.
+        discovery: Executes the balancer's subscriptions.
+        restore_snapshot: Restores warm state into a balancer; called once, when the first list has come.
+        retired_endpoint_names: Returns the endpoints that retired engines still use.
+        on_request_ended: Called for each request that ends with a final response, with its class name, and
+            whether it was served within the latency objective.
+        has_lease: Whether this instance holds the lease that it needs to decide; None: it needs none.
     """
 
     def __init__(
@@ -88,16 +89,16 @@
         persistent_hooks: Sequence[BalancerHook] = (),
         predecessor: Engine | None = None,
     ) -> None:
-        """Make an engine that has not begun.
+        """Create an engine that has not started.
 
         Args:
-            settings: Settings of the policy version that it decides by.
+            settings: Settings of the engine's policy version.
             seed: Seed of the balancer's random numbers.
             directory: The endpoint list of this version.
-            upstream: Carries out the attempts.
-            operators: What operators state beside the settings.
-            persistent_hooks: Hooks that outlive the balancer, should it have to begin anew.
-            predecessor: The engine whose place it is to take (`version_handover.take_over`).
+            upstream: Executes the attempts.
+            operators: The operators' configuration.
+            persistent_hooks: Policy hooks that stay when the balancer is replaced.
+            predecessor: The engine that this one will replace (`version_handover.take_over`).
         """
         self._settings = settings
         self._persistent_hooks = tuple(persistent_hooks)
@@ -110,12 +111,10 @@
         self._last_id = 0
         self._events: list[Event] = []
         self._scheduled = False
-        self._incarnation = 0  # of the balancer: timers of an earlier one are void
+        self._incarnation = 0  # of the balancer; timers of earlier balancers are ignored
         self._operators = operators
         self._client_retries = self._make_client_retries(predecessor)
-        self._successor: InFlightHandover | None = (
-            None  # counts what is in flight here at the engine that decides now
-        )
+        self._successor: InFlightHandover | None = None  # counts attempts in flight here at the active engine
         self._on_drained: Callable[[], None] | None = None
         self.restore_snapshot: Callable[[Balancer], None] | None = None
         self.retired_endpoint_names: Callable[[], Set[str]] | None = None
@@ -127,7 +126,7 @@
         self.has_lease: Callable[[], bool] | None = None
 
     def _make_client_retries(self, predecessor: Engine | None) -> ClientRetries | None:
-        """Return the memory of requests that clients may retry, if operators ask for one."""
+        """Return the record of requests that clients may retry, if operators enable it."""
         overload = self._operators.overload
         if overload is None or not overload.tracks_client_retries:
             return None
@@ -143,47 +142,47 @@
 
     @property
     def pending_count(self) -> int:
-        """How many requests are owed their final answer."""
+        """Number of requests without a final response."""
         return len(self._pending)
 
     @property
     def endpoint_names(self) -> Set[str]:
-        """The endpoints of its list."""
+        """Names of the endpoints in the engine's list."""
         return self._directory.entries.keys()
 
     @property
     def classes(self) -> Sequence[RequestClass]:
-        """The request classes of its settings."""
+        """Request classes of the engine's settings."""
         return self._settings.classes
 
     # Start, handover and end
 
     def start(self) -> None:
-        """Let the balancer begin; it asks for discovery in its first call."""
+        """Start the balancer; its first call requests a subscription to discovery."""
         self._schedule_flush()
 
     def restore_if_listed(self) -> None:
-        """Give the balancer what an earlier process had learned, once there are endpoints to know it of."""
+        """Restore warm state into the balancer, once it knows endpoints that the state can apply to."""
         if self.restore_snapshot is not None and self.balancer.endpoint_set.endpoints:
             restore, self.restore_snapshot = self.restore_snapshot, None
             restore(self.balancer)
 
     def retire(self, successor: InFlightHandover, on_drained: Callable[[], None]) -> None:
-        """Accept nothing more.
+        """Accept no further requests; pending ones continue here.
 
         Args:
-            successor: Counts what is in flight here, at the engine that decides now.
+            successor: Counts the attempts in flight here at the active engine.
             on_drained: Called once, when all pending requests have ended.
         """
         self._successor, self._on_drained = successor, on_drained
 
-    def _drained(self) -> None:
+    def _notify_drained(self) -> None:
         on_drained, self._on_drained = self._on_drained, None
         if on_drained is not None:
             on_drained()
 
-    def give_up(self) -> None:
-        """Answer at once what is still pending."""
+    def fail_pending(self) -> None:
+        """Answer all pending requests at once, without waiting for their attempts."""
         for pending in list(self._pending.values()):
             self._notify_disconnected(pending.id)
             self._answer_without_balancer(pending, 502)
@@ -191,7 +190,7 @@
     # Events
 
     def post(self, event: Event) -> None:
-        """Hand an event to the balancer. Events of one turn of the loop share one call."""
+        """Queue an event for the balancer, which handles all events of a loop iteration in one call."""
         self._events.append(event)
         self._schedule_flush()
 
@@ -201,7 +200,7 @@
             asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
-        """Let the balancer handle the events that have been posted."""
+        """Let the balancer handle the queued events."""
         self._scheduled = False
         events, self._events = self._events, []
         try:
@@ -209,12 +208,12 @@
                 self._execute(action)
             if self.restore_snapshot is not None:
                 self.restore_if_listed()
-        except Exception:  # whatever fails in the decisions must not end the process, with all its requests
-            log.exception("the decisions failed; pending requests are answered, and the balancer restarts")
+        except Exception:  # a failure in the balancer must not end the process with all requests
+            log.exception("the balancer failed; its pending requests are answered, and it is restarted")
             self._restart_balancer()
 
     def handle_at_once(self, event: Event) -> None:
-        """Let the balancer handle one event now, ahead of those that have been posted."""
+        """Let the balancer handle one event now, ahead of the queued ones."""
         for action in self.balancer.handle(now_ms(), [event]):
             self._execute(action)
 
@@ -223,8 +222,8 @@
             self._answer_without_balancer(pending, 500)
         self._incarnation += 1
         self.balancer = self._new_balancer()
-        self._events.clear()  # they are of the old balancer's requests
-        # Not at once: decisions that fail whenever they begin would keep the whole process busy.
+        self._events.clear()  # they concern requests of the old balancer
+        # After a delay: a balancer that fails on each restart would keep the whole process busy.
         asyncio.get_running_loop().call_later(
             BALANCER_RESTART_DELAY_S, self._replay_endpoints, self._incarnation
         )
@@ -234,12 +233,12 @@
             self.post(EndpointsListed(ListKind.RESTORED, tuple(self._directory.entries.values())))
 
     def notify_endpoints(self, event: EndpointsListed) -> None:
-        """Take in a list or a watch event: the pool knows of it before the balancer acts on it."""
+        """Pass a list or a watch event to the pool, and then to the balancer."""
         self.update_upstream(event)
         self.post(event)
 
     def update_upstream(self, event: EndpointsListed) -> None:
-        """Give the pool the endpoints of a list or a watch event."""
+        """Update the pool from a list or a watch event."""
         leaving = self.retired_endpoint_names() if self.retired_endpoint_names is not None else frozenset()
         for endpoint in event.endpoints:
             address = self._directory.addresses.get(endpoint.name)
@@ -252,18 +251,18 @@
     # Requests
 
     def accept(self, request: ClientRequest, response_writer: ResponseWriter) -> int:
-        """Take a request that has been read.
+        """Accept a complete request, and return its id.
 
-        It gets one final answer through `response_writer`, unless its client disconnects. Returns its id.
+        It gets one final response through `response_writer`, unless its client disconnects.
         """
         self._last_id += 1
         expires_in_ms = request.expires_in_ms
         if expires_in_ms is None:
             expires_in_ms = self._deadlines_ms.get(request.class_name, DEFAULT_DEADLINE_MS)
         deadline_ms = request.received_ms + expires_in_ms
-        left_ms = deadline_ms - GUARD_MARGIN_MS - now_ms()
+        remaining_ms = deadline_ms - GUARD_MARGIN_MS - now_ms()
         loop = asyncio.get_running_loop()
-        guard = loop.call_later(max(0.0, left_ms) / 1000.0, self._deadline_passed, self._last_id)
+        guard = loop.call_later(max(0.0, remaining_ms) / 1000.0, self._deadline_passed, self._last_id)
         first_request_ms = None
         if self._client_retries is not None and request.client_retry:
             first_request_ms = self._client_retries.first_request_ms(now_ms(), request.fingerprint())
@@ -289,34 +288,34 @@
         return self._last_id
 
     def client_disconnected(self, request_id: int) -> None:
-        """End a request whose client has left: nothing more is owed."""
+        """End a request whose client has disconnected, without a response."""
         pending = self._pending.get(request_id)
         if pending is not None:
             self._notify_disconnected(request_id)
             self._finish(pending, client_disconnected=True)
 
     def _notify_disconnected(self, request_id: int) -> None:
-        """Notify the balancer, before all else that this turn of the loop brings.
+        """Queue the disconnect ahead of all other events of this loop iteration.
 
-        A retry that falls due in the turn in which its client leaves would be decided first, and its attempt,
-        for which no request is pending any more, would count as in flight at its endpoint for good.
+        Otherwise a retry due in the same iteration would be decided first. Its attempt would belong to no
+        pending request, and would count as in flight at its endpoint forever.
         """
         for event in self._events:
             if isinstance(event, RequestArrived) and event.request_id == request_id:
-                self._events.remove(event)  # the balancer never gets to know of the request
+                self._events.remove(event)  # the balancer never learns of the request
                 return
         self.post(ClientDisconnected(request_id))
         self._events.insert(0, self._events.pop())
 
     def _deadline_passed(self, request_id: int) -> None:
-        """Answer before the client's time is over, whatever the balancer does."""
+        """Answer a request that the balancer has not ended shortly before the client's deadline."""
         pending = self._pending.get(request_id)
         if pending is not None:
             self._notify_disconnected(request_id)
             self._answer_without_balancer(pending, 504)
 
     def _answer_without_balancer(self, pending: PendingRequest, status: int) -> None:
-        # A rejection says that a retry is harmless, so only what certainly never ran gets one.
+        # A rejection states that a retry is safe, so only a request that certainly never ran is rejected.
         if pending.may_have_run:
             pending.response_writer.fail(status)
         else:
@@ -324,7 +323,7 @@
         self._finish(pending)
 
     def _finish(self, pending: PendingRequest, client_disconnected: bool = False) -> None:
-        """End a request: nothing more goes out for it."""
+        """Remove a pending request, and cancel its attempts."""
         if self._pending.pop(pending.id, None) is None:
             return
         pending.guard.cancel()
@@ -339,7 +338,7 @@
             )
         pending.cancel_attempts()
         if self._on_drained is not None and not self._pending:
-            self._drained()
+            self._notify_drained()
 
     # Actions
 
@@ -359,7 +358,7 @@
                 if self.discovery is not None:
                     self.discovery.subscribe()
             case Probe():
-                # Not to be had over these sockets yet; the balancer asks only where settings allow it.
+                # Load probes are not implemented over sockets; the balancer asks only if settings allow it.
                 self.post(ProbeEnded(action.endpoint, Outcome.NOT_SENT, 0.0))
             case Log():
                 log.info("%s", action.text)
@@ -385,23 +384,23 @@
     def _send(self, action: Send) -> None:
         pending = self._pending.get(action.request_id)
         if pending is None:
-            log.error("a send for request %d, which is not pending", action.request_id)
+            log.error("the balancer sent an attempt for request %d, which is not pending", action.request_id)
             return
         number = len(pending.attempts)
         pending.may_have_run += 1
         attempt = self._start_attempt(pending, number, action) if self._may_send(action.endpoint) else None
-        # The balancer numbers all attempts. One that is left out here would shift the numbers of the next,
-        # and the balancer would wait for the end of the last one until the client's time is over.
+        # The balancer numbers all attempts. Leaving out one that was not sent would shift the numbers of
+        # later ones, and the balancer would wait for the end of the last one until the client's deadline.
         pending.attempts.append(attempt)
         if attempt is None:
             pending.may_have_run -= 1
             self.post(AttemptEnded(pending.id, number, Outcome.NOT_SENT, 0.0))
 
     def _may_send(self, endpoint: str) -> bool:
-        """Whether an attempt may start there now.
+        """Whether an attempt may start at an endpoint now.
 
-        After a stop of the process its lease may be over, and while another engine decides, its endpoint may
-        have left the newest list.
+        After a stall the lease may have expired, and at a retired engine the endpoint may have left the
+        newest list.
         """
         if self.has_lease is not None and not self.has_lease():
             return False
@@ -420,14 +419,14 @@
         )
 
     def _may_write(self, pending: PendingRequest, write_by_ms: float) -> bool:
-        """Whether an attempt may still be written; asked right before its first byte."""
+        """Whether an attempt may still be written; called right before its first byte."""
         if pending.id not in self._pending or now_ms() >= write_by_ms:
             return False
         if self.has_lease is not None and not self.has_lease():
             return False
         if pending.response_writer.client_gone():
-            # That a client has left is read after all that came before it: while the loop is late, or reading
-            # is paused, its request would still go out.
+            # The loop reads a disconnect after all earlier bytes. Without this check the request would still
+            # be sent while the loop is late or reading is paused.
             self.client_disconnected(pending.id)
             return False
         return True
@@ -439,8 +438,8 @@
             self._successor.ended(endpoint, self._started_ms_of(endpoint), result.outcome)
         if result.outcome in NEVER_RAN:
             pending.may_have_run -= 1
-        if pending.id in self._pending and result.outcome is Outcome.OK and result.answer is not None:
-            pending.response_writer.send_response(result.answer)
+        if pending.id in self._pending and result.outcome is Outcome.OK and result.response is not None:
+            pending.response_writer.send_response(result.response)
             pending.served = True
             self._finish(pending)
         self.post(
@@ -459,21 +458,23 @@
         return endpoint.started_ms if endpoint is not None else None
 
     def _still_accepts(self, name: str) -> bool:
-        """Whether an endpoint of this list, which is not the newest, is the same in the newest."""
+        """Whether an endpoint of this older list has the same address in the newest and accepts requests."""
         address = self._directory.addresses.get(name)
         return address is not None and self._upstream.still_accepts(name, address)
 
     # Timers
 
     def _set_timer(self, due_ms: float, incarnation: int, token: int) -> None:
-        left_ms = max(0.0, due_ms - now_ms())
-        asyncio.get_running_loop().call_later(left_ms / 1000.0, self._timer_due, due_ms, incarnation, token)
+        remaining_ms = max(0.0, due_ms - now_ms())
+        asyncio.get_running_loop().call_later(
+            remaining_ms / 1000.0, self._timer_due, due_ms, incarnation, token
+        )
 
     def _timer_due(self, due_ms: float, incarnation: int, token: int) -> None:
         if incarnation != self._incarnation:
             return
         if now_ms() < due_ms:
-            # The loop's clock is coarser than ours: a timer must not fire before its time.
+            # The loop's clock is coarser than ours, so it may run a timer early; a timer must not fire early.
             loop = asyncio.get_running_loop()
             loop.call_later(TIMER_RECHECK_S, self._timer_due, due_ms, incarnation, token)
         else:
--- a/client_proxy/proxy/errors.py
+++ b/client_proxy/proxy/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the proxy. All derive from `ProxyError`."""
+"""Errors of the proxy, all derived from `ProxyError`."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class BadRequestError(ProxyError, ValueError):
-    """A client's request can't be accepted; nothing of it has run.
+    """A client's request can't be accepted; it has not run.
 
     Attributes:
-        status: The HTTP status of the answer. The error's text is the answer's body.
+        status: The HTTP status of the response; the error's text is its body.
     """
 
     def __init__(self, status: int, text: str) -> None:
@@ -20,8 +20,8 @@
 
 
 class MalformedMessageError(ProxyError, ValueError):
-    """A stream of JSON objects can't be read; nothing that follows on it can be relied on."""
+    """A stream of JSON objects is malformed; later bytes of the stream are unusable."""
 
 
 class ConfigError(ProxyError, ValueError):
-    """The configuration is not usable; the text says why, on one line."""
+    """The configuration is unusable; the text states the reason on one line."""
--- a/client_proxy/proxy/json_lines.py
+++ b/client_proxy/proxy/json_lines.py
@@ -1,4 +1,4 @@
-"""Splits a byte stream into the JSON objects and empty lines that it carries. No I/O."""
+"""Splits a byte stream into JSON objects and empty lines. No I/O."""
 
 from __future__ import annotations
 
@@ -11,46 +11,46 @@
 
 Json = dict[str, Any]
 
-# Strings hold no raw line break (RFC 8259, 7), so a line can be looked at by itself.
+# JSON strings contain no raw line breaks (RFC 8259, 7), so each line can be tokenized by itself.
 TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')
 
 
 def nesting(line: bytes) -> int:
-    """Return how many brackets a line opens beyond those that it closes."""
+    """Return the number of brackets that a line opens, less those that it closes."""
     tokens = [token for token in TOKEN.findall(line) if token[:1] != b'"']
     return sum(1 if token in b"{[" else -1 for token in tokens)
 
 
 def read_object(text: bytes) -> Json:
-    """Parse one JSON object. Raises ValueError for what is not exactly one."""
+    """Parse a text that must be exactly one JSON object. Raises ValueError."""
     try:
         value = json.loads(text)
     except RecursionError:
-        raise MalformedMessageError("nested too deeply") from None
+        raise MalformedMessageError("JSON is nested too deeply") from None
     if not isinstance(value, dict):
-        raise MalformedMessageError("not an object")
+        raise MalformedMessageError("not a JSON object")
     return value
 
 
 class JsonLines:
-    """Collects objects; they may be indented over several lines, and chunks need not end on lines."""
+    """Collects JSON objects, which may span several lines; chunks may end anywhere."""
 
     def __init__(self, max_object_bytes: int) -> None:
-        """Begin a stream. `max_object_bytes`: bytes that one object may take."""
+        """Start a stream. `max_object_bytes`: maximum size of one object."""
         self._max_object_bytes = max_object_bytes
-        self._line = bytearray()  # come, with no line break yet
-        self._lines: list[bytes] = []  # of an object that has begun
-        self._size = 0  # bytes of these lines
+        self._line = bytearray()  # received bytes after the last line break
+        self._lines: list[bytes] = []  # complete lines of an incomplete object
+        self._size = 0  # bytes in `_lines`
         self._open_brackets = 0
 
     def feed(self, data: bytes) -> Iterator[Json | None]:
-        """Yield what the next bytes complete, in order; None for an empty line between objects.
+        """Yield the objects that the next bytes complete, and None for each empty line between objects.
 
-        Raises ValueError for what is malformed or too long; nothing that follows can be relied on then.
+        Raises ValueError if the stream is malformed or an object is too long; the stream is unusable then.
         """
         self._line += data
-        *lines, rest = self._line.split(b"\n")
-        self._line = bytearray(rest)
+        *lines, incomplete_line = self._line.split(b"\n")
+        self._line = bytearray(incomplete_line)
         for line in lines:
             stripped = bytes(line).strip()
             if not self._lines:
@@ -60,14 +60,14 @@
                 try:
                     parsed: Json | None = read_object(stripped)
                 except ValueError:
-                    if nesting(stripped) <= 0:  # all of it is there, and no object
+                    if nesting(stripped) <= 0:  # all brackets are closed, so no further line can complete it
                         raise
                     parsed = None
                 if parsed is not None:
                     yield parsed
                     continue
             self._lines.append(stripped)
-            self._size += len(stripped) + 1  # empty ones must not grow unseen either
+            self._size += len(stripped) + 1  # empty lines count too, or they would grow without limit
             self._open_brackets += nesting(stripped)
             self._check_size()
             if self._open_brackets <= 0:
@@ -78,4 +78,4 @@
 
     def _check_size(self) -> None:
         if self._size + len(self._line) > self._max_object_bytes:
-            raise MalformedMessageError("line too long")
+            raise MalformedMessageError("object too long")
--- a/client_proxy/proxy/listener.py
+++ b/client_proxy/proxy/listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections, times out those that are slow, and ends them all in a graceful shutdown."""
+"""Accepts client connections, times out slow ones, and closes all of them in a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 1024
-# From a connection's opening, or the first byte of a further request, until the request is complete; and for
-# a last answer to be taken. Clients send at once: one that has sent nothing, or half, by then is cut off.
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+# Time from the opening of a connection, or the first byte of a further request, until the request is
+# complete; also the time for a client to read its last response. Clients send requests at once, so a
+# connection without a complete request by then is closed.
 REQUEST_TIMEOUT_MS = 2000.0
-SWEEP_S = 0.25
-CLOSE_TIMEOUT_S = 0.5  # at the end of the process: for clients to end their sides once all is answered
-TURNS_TO_READ = 3  # of the loop, for it to accept and read what the system holds
+SWEEP_S = 0.25  # between two checks for timed-out connections
+CLOSE_TIMEOUT_S = 0.5  # in a shutdown: for clients to close their sides once all requests are answered
+TURNS_TO_READ = 3  # loop iterations that accept and read what the kernel has queued
 
 
 class Listener:
@@ -37,14 +38,14 @@
         max_connections: int,
         max_idle: int,
     ) -> None:
-        """Make a listener that does not listen yet.
+        """Create a listener that does not listen yet.
 
         Args:
-            engine: Decides what comes.
-            settings: Settings of the policy by which requests are read.
-            ready: Whether any endpoint can be used, for `/ready`.
-            max_connections: Past this number connections are closed with their answers.
-            max_idle: So many may be idle at once.
+            engine: Accepts the requests.
+            settings: Settings of the current policy, by which requests are parsed.
+            ready: Whether any endpoint is usable; the answer to `/ready`.
+            max_connections: Above this number, connections are closed after their responses.
+            max_idle: Limit on idle connections.
         """
         self.engine = engine
         self.settings = settings
@@ -52,22 +53,22 @@
         self.limits = ConnectionLimits(max_connections, max_idle)
         self.trace_ids = TraceIds(settings.classes)
         self.stall_detector = StallDetector()
-        self.gives_up = False
+        self.rejects_new_requests = False
         self._server: asyncio.Server | None = None
         self._sweeper: asyncio.TimerHandle | None = None
 
     @property
     def connections(self) -> dict[ClientConnection, ConnectionState]:
-        """All connections, those that close included."""
+        """All connections, including closing ones."""
         return self.limits.connections
 
     def adopt(self, engine: Engine, settings: Settings, ready: Callable[[], bool]) -> None:
-        """Serve by another policy from now on; requests that were accepted end where they were accepted."""
+        """Switch new requests to another policy; pending ones finish at the engine that accepted them."""
         self.engine, self.settings, self.ready = engine, settings, ready
         self.trace_ids.adopt(settings.classes)
 
     async def listen(self, host: str, port: int) -> int:
-        """Accept connections from now on. Returns the port, which the system picks for 0."""
+        """Start accepting connections. Returns the port, which the kernel chooses if `port` is 0."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ClientConnection(self, self.limits), host, port, backlog=BACKLOG
@@ -77,14 +78,14 @@
         return listening
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Count a connection, and close one where there are too many."""
+        """Register a connection, and close one if there are too many."""
         self.limits.add(connection)
         if self._sweeper is None:
             self._sweep_later()
         self.limits.enforce(connection)
 
     def has_lease(self) -> bool:
-        """Whether anything may be decided at this moment."""
+        """Whether this instance holds the lease that it needs to decide; true where none is needed."""
         return self.engine.has_lease is None or self.engine.has_lease()
 
     # Timeouts
@@ -93,10 +94,10 @@
         self._sweeper = asyncio.get_running_loop().call_later(SWEEP_S, self._sweep)
 
     def _sweep(self) -> None:
-        """End what has taken too long."""
+        """Expire trace ids, and close connections that have timed out."""
         self._sweeper = None
         self.trace_ids.expire()
-        # After a stop what clients sent and took meanwhile is not known yet: the next sweep judges them.
+        # After a stall, bytes that arrived meanwhile may be unread; the next sweep checks the timeouts.
         if not self.stall_detector.recovering():
             self._end_overdue()
         if self.connections or self.trace_ids:
@@ -104,29 +105,29 @@
 
     def _end_overdue(self) -> None:
         latest_ms = now_ms() - REQUEST_TIMEOUT_MS
-        for connection in self.limits.since_before(ConnectionState.AWAITING_REQUEST, latest_ms):
+        for connection in self.limits.entered_before(ConnectionState.AWAITING_REQUEST, latest_ms):
             connection.request_timed_out()
-        for connection in self.limits.since_before(ConnectionState.WRITE_BLOCKED, latest_ms):
+        for connection in self.limits.entered_before(ConnectionState.WRITE_BLOCKED, latest_ms):
             connection.abort()
-        for connection in self.limits.since_before(ConnectionState.CLOSING, latest_ms):
+        for connection in self.limits.entered_before(ConnectionState.CLOSING, latest_ms):
             connection.abort()
 
     # Graceful shutdown
 
     async def shut_down(
-        self, accept_grace_s: float, finish_timeout_s: float, give_up: Callable[[], None] | None = None
+        self, accept_grace_s: float, finish_timeout_s: float, fail_pending: Callable[[], None] | None = None
     ) -> None:
-        """Serve on while connections still come, then finish what is pending, and no more.
+        """Serve while clients may still connect, then stop accepting, and finish pending requests.
 
         Args:
-            accept_grace_s: For so long connections still come.
-            finish_timeout_s: After this time more, what is pending is answered as it stands.
-            give_up: Answers it, where other engines hold some of it.
+            accept_grace_s: For how long new connections are still accepted.
+            finish_timeout_s: Time for pending requests after that; then they are answered with an error.
+            fail_pending: Answers the pending requests of all engines; None: the current one only.
         """
         await asyncio.sleep(accept_grace_s)
         self.limits.ending = True
-        # What has come by now is in the system's hands, perhaps not yet in ours: a connection not yet
-        # accepted or a request not yet read would be lost with its socket. So let the loop turn first.
+        # A connection not yet accepted, or a request not yet read, would be lost with its socket. A few loop
+        # iterations let the loop accept and read them first.
         for _ in range(TURNS_TO_READ):
             await asyncio.sleep(0)
         if self._server is not None:
@@ -134,11 +135,11 @@
         for connection in list(self.connections):
             connection.close_idle()
         if not await self.limits.wait_until_none(self.limits.in_use, finish_timeout_s):
-            # With the process everything that is unanswered would be lost. A client that always has a request
-            # ahead of its turn keeps its connection open up to here, and the next one would begin now.
-            log.warning("%d connections still open at the end", self.limits.in_use())
-            self.gives_up = True
-            (give_up or self.engine.give_up)()
+            # Unanswered requests would be lost with the process. A client that always has a pipelined request
+            # keeps its connection open until here; its next request must not start now.
+            log.warning("%d connections still open at the end of the shutdown timeout", self.limits.in_use())
+            self.rejects_new_requests = True
+            (fail_pending or self.engine.fail_pending)()
             for connection in list(self.connections):
                 connection.request_timed_out()
         await self.limits.wait_until_none(lambda: len(self.connections), CLOSE_TIMEOUT_S)
--- a/client_proxy/proxy/messages.py
+++ b/client_proxy/proxy/messages.py
@@ -1,4 +1,4 @@
-"""The requests and responses that the parts of the proxy hand each other, and how they are encoded."""
+"""Requests and responses inside the proxy, and their encoding."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-MAX_BODY_BYTES = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024  # of a request or a response
 
-# Headers that belong to one connection, or that the proxy writes itself (RFC 9110, 7.6.1).
+# Hop-by-hop headers (RFC 9110, 7.6.1), and Content-Length, which the proxy writes itself.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -24,7 +24,7 @@
     )
 )
 
-# Forwarded whatever `Connection` says: endpoints drop a repeated request by its key, and know it by its id.
+# Forwarded even if `Connection` names them: endpoints deduplicate and identify requests by these.
 ALWAYS_FORWARDED = frozenset((b"x-trace-id", b"idempotency-key"))
 
 Headers = list[tuple[bytes, bytes]]
@@ -45,37 +45,37 @@
 }
 
 
-def end_to_end_headers(headers: Headers, but: Collection[bytes] = ()) -> Headers:
-    """Return the headers that may be forwarded (RFC 9110, 7.6.1).
+def end_to_end_headers(headers: Headers, excluded: Collection[bytes] = ()) -> Headers:
+    """Return the headers to forward (RFC 9110, 7.6.1).
 
     Args:
         headers: The headers of one message.
-        but: Names, in lower case, of others to leave out.
+        excluded: Further names to leave out, in lower case.
     """
     kept: Headers = []
-    named: set[bytes] | None = None
+    connection_options: set[bytes] | None = None
     for name, value in headers:
         lowered = name.lower()
         if lowered == b"connection":
-            named = named or set()
-            named.update(token.strip().lower() for token in value.split(b","))
-        elif lowered not in HOP_BY_HOP and lowered not in but:
+            connection_options = connection_options or set()
+            connection_options.update(token.strip().lower() for token in value.split(b","))
+        elif lowered not in HOP_BY_HOP and lowered not in excluded:
             kept.append((name, value))
-    if named is None:  # the usual case: each header is examined once
+    if connection_options is None:  # the usual case, without a Connection header
         return kept
-    named -= ALWAYS_FORWARDED
-    return [(name, value) for name, value in kept if name.lower() not in named]
+    connection_options -= ALWAYS_FORWARDED
+    return [(name, value) for name, value in kept if name.lower() not in connection_options]
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A complete request of a client."""
+    """A complete request of a client, with its headers interpreted."""
 
     method: bytes
     target: bytes
     headers: Headers
     body: bytes
-    received_ms: float  # when its last byte had come, as far as is known
+    received_ms: float  # earliest known arrival time of its last byte
     class_name: str
     expires_in_ms: float | None = None
     tenant: str | None = None
@@ -83,28 +83,30 @@
     work_hint_ms: float | None = None
     client_retry: bool = False
     trace_id: bytes = b""
-    head: bytes = field(default=b"")  # what goes to an endpoint, up to the time that is left
+    head: bytes = field(default=b"")  # cached encoding up to the X-Expires-In-Ms header
 
     def fingerprint(self) -> bytes:
-        """Return 16 bytes that are the same for each attempt of a client at one request.
+        """Return a 16-byte hash that is equal for a client's request and its client retries.
 
-        Thousands of bodies, kept to compare them, would take all of the proxy's memory.
+        Keeping thousands of bodies to compare them would take too much memory.
         """
-        named = next((value for name, value in self.headers if name.lower() == b"idempotency-key"), b"")
+        idempotency_key = next(
+            (value for name, value in self.headers if name.lower() == b"idempotency-key"), b""
+        )
         digest = blake2b(digest_size=16)
-        for part in (self.method, self.target, named, self.body):
+        for part in (self.method, self.target, idempotency_key, self.body):
             digest.update(b"%d:" % len(part) + part)
         return digest.digest()
 
-    def encode(self, left_ms: float) -> bytes:
-        """Return the request as an endpoint gets it. `left_ms`: until the attempt's deadline."""
+    def encode(self, remaining_ms: float) -> bytes:
+        """Encode the request for an endpoint. `remaining_ms`: time until the attempt's deadline."""
         if not self.head:
             lines = [self.method + b" " + self.target + b" HTTP/1.1"]
             lines += [name + b": " + value for name, value in end_to_end_headers(self.headers)]
             if self.body or self.method != b"GET":
                 lines.append(b"Content-Length: %d" % len(self.body))
             self.head = b"\r\n".join(lines)
-        return b"%b\r\nX-Expires-In-Ms: %d\r\n\r\n%b" % (self.head, max(1, int(left_ms)), self.body)
+        return b"%b\r\nX-Expires-In-Ms: %d\r\n\r\n%b" % (self.head, max(1, int(remaining_ms)), self.body)
 
 
 @dataclass(slots=True, eq=False)
@@ -117,7 +119,7 @@
 
 
 def encode_response(status: int, headers: Headers, body: bytes, close: bool) -> bytes:
-    """Return an answer as it goes to a client. `close`: it is the last on its connection."""
+    """Encode a response for a client. `close`: it is the last on its connection."""
     lines = [b"HTTP/1.1 %d %b" % (status, REASON_PHRASES.get(status, b"Unknown"))]
     lines += [name + b": " + value for name, value in headers]
     lines.append(b"Content-Length: %d" % len(body))
--- a/client_proxy/proxy/pending_request.py
+++ b/client_proxy/proxy/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that is owed its final answer, and where that answer goes."""
+"""A request without a final response, and the interface that writes the response."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 
 
 class ResponseWriter(Protocol):
-    """Where a request's one final answer goes."""
+    """Writes the one final response of a request."""
 
-    def send_response(self, answer: UpstreamResponse) -> None:
+    def send_response(self, response: UpstreamResponse) -> None:
         """Answer with an endpoint's response."""
 
     def reject(self, retry_after_ms: float) -> None:
-        """Answer that the request did not run; 0: without a time after which to retry."""
+        """Answer that the request did not run. `retry_after_ms` 0: without a retry time."""
 
     def fail(self, status: int) -> None:
         """Answer that the request has failed; it may have run."""
 
     def client_gone(self) -> bool:
-        """Whether the client has left, as far as the system knows at this moment."""
+        """Whether the client has disconnected, as the kernel knows it now."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed its final answer."""
+    """A request that has no final response yet."""
 
     id: int
     request: ClientRequest
     response_writer: ResponseWriter
-    guard: asyncio.TimerHandle  # answers in time, whatever the balancer does
-    first_request_ms: float  # when its client sent it first, as far as is known
-    attempts: list[UpstreamAttempt | None] = field(default_factory=list)  # by number; None: it was not sent
-    may_have_run: int = 0  # attempts that are out, or may have run
+    guard: asyncio.TimerHandle  # answers before the client's deadline if the balancer does not
+    first_request_ms: float  # when the client sent it first, as far as known
+    attempts: list[UpstreamAttempt | None] = field(default_factory=list)  # by attempt number; None: not sent
+    may_have_run: int = 0  # number of attempts in flight, or ended without certainty that they did not run
     served: bool = False
 
     def cancel_attempts(self) -> None:
-        """Give all attempts up that have not ended."""
+        """Cancel all attempts that have not ended."""
         for attempt in self.attempts:
             if attempt is not None:
                 attempt.cancel()
--- a/client_proxy/proxy/program.py
+++ b/client_proxy/proxy/program.py
@@ -1,4 +1,4 @@
-"""The program of `python -m client_proxy.proxy`: its command line, its life from start to shutdown."""
+"""The program behind `python -m client_proxy.proxy`: command line, start, reload and shutdown."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 async def run(config: Config, operators: Operators, keyring: Keyring | None, signals: ProcessSignals) -> None:
-    """Serve until SIGTERM or SIGINT, then finish what is pending."""
+    """Serve until SIGTERM or SIGINT, then shut down gracefully."""
     gossip: Gossip | None = None
     if operators.gossip is not None and keyring is not None:
         from client_proxy.membership.gossip import Gossip
@@ -35,34 +35,34 @@
         gossip = Gossip.from_config(config, operators.gossip, keyring)
     daemon = Daemon(config, operators=operators, gossip=gossip)
     if signals.termination_requested:
-        return  # nobody has been accepted yet
+        return  # no connection has been accepted yet
     await daemon.start()
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     signals.attach(loop.call_soon_threadsafe, stop.set, partial(reload, daemon))
     await stop.wait()
     await daemon.shut_down()
-    # From the loop's close on, a handler of Python's would be no more than the default action again.
+    # Once the loop is closed, a signal would have its default action again and end the process by a signal.
     signals.ignore()
 
 
 def reload(daemon: Daemon) -> None:
-    """Read the file's discovery address and the keys for gossip again; all else is for the next start."""
+    """Reload the discovery address and the gossip keys; other settings need a restart."""
     if daemon.gossip is not None:
         daemon.gossip.reload_keys()
     try:
         address = load_config(os.environ, reloading=True).discovery
     except ConfigError as error:
-        log.warning("the new configuration is unusable, the old one stands: %s", error)
+        log.warning("reload: the new configuration is unusable, the old one stays: %s", error)
         return
     if address is None:
         return
-    log.info("configuration read again, discovery at %s:%d", *address)
+    log.info("configuration reloaded; discovery at %s:%d", *address)
     daemon.move(address)
 
 
 def load_keys(operators: Operators) -> Keyring | None:
-    """Return the gossip keys that the operators' file names, if it does. Raises TomlError."""
+    """Return the gossip keys that the operators' file names, or None without gossip. Raises TomlError."""
     if operators.gossip is None:
         return None
     from client_proxy.membership.keys import load_keyring
@@ -74,19 +74,21 @@
     """Return the parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="python -m client_proxy.proxy",
-        description="One client proxy, as the environment configures it.",
+        description="Run one client proxy, configured by environment variables.",
     )
     parser.add_argument(
-        "--operators", metavar="FILE", help="the operators' TOML file; none: its features are off"
+        "--operators",
+        metavar="FILE",
+        help="the operators' TOML file; without it, the features it configures are off",
     )
     return parser
 
 
 def main(signals: ProcessSignals) -> int:
-    """Run the program; returns its exit code: 2 for unusable configuration, 1 if it can't listen.
+    """Run the program. Returns the exit code: 2 for unusable configuration, 1 if it can't listen.
 
     Args:
-        signals: The process's signals, installed: those that came before the files were read count.
+        signals: The installed signal handlers, which also record signals that arrive during the start.
     """
     args = argument_parser().parse_args()
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
--- a/client_proxy/proxy/request_parser.py
+++ b/client_proxy/proxy/request_parser.py
@@ -1,4 +1,4 @@
-"""Parses the HTTP/1.1 stream of one client connection into complete requests, within limits on their size."""
+"""Parses the HTTP/1.1 stream of one client connection into complete requests of limited size."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 from client_proxy.proxy.messages import MAX_BODY_BYTES, Headers
 
 MAX_HEADER_BYTES = 16 * 1024
-MAX_MESSAGE_BYTES = MAX_HEADER_BYTES + 4 * MAX_BODY_BYTES  # as sent, with whatever chunks add to it
+MAX_MESSAGE_BYTES = MAX_HEADER_BYTES + 4 * MAX_BODY_BYTES  # as sent, including the overhead of chunks
 FRAMING_NAME_SIZES = frozenset(map(len, (b"content-length", b"transfer-encoding", b"expect")))
 
 
 class ParsedRequest(NamedTuple):
-    """A complete request as it was sent, before its headers are interpreted."""
+    """A complete request before its headers are interpreted."""
 
     method: bytes
     target: bytes
     headers: Headers
     body: bytes
-    keep_alive: bool  # false: no further request follows on the connection
+    keep_alive: bool  # false: the last request on its connection
 
 
 class RequestHandler(Protocol):
-    """Receives what the parser finds. An error raised here ends the parsing, as a malformed request does."""
+    """Receives parsed requests. An exception raised here ends the parsing, like a malformed request."""
 
     def continue_expected(self) -> None:
-        """Allow the client to send the body that it holds back (RFC 9110, 10.1.1)."""
+        """Called if the client waits for 100 Continue before it sends the body (RFC 9110, 10.1.1)."""
 
     def request_parsed(self, parsed: ParsedRequest) -> None:
-        """Take a complete request. Raises BadRequestError if it can't be accepted."""
+        """Accept a complete request. Raises BadRequestError if it can't be accepted."""
 
 
 class RequestParser:
-    """Parses requests one after the other, and calls its handler for each."""
+    """Parses one request after the other, and passes each to a handler."""
 
     def __init__(self, handler: RequestHandler) -> None:
         self._handler = handler
         self._parser = httptools.HttpRequestParser(self)
-        self.in_message = False  # a part of a message has come
+        self.in_message = False  # a part of a request has been parsed
         self._in_head = True
         self._message_bytes = 0
         self._reset_message()
@@ -52,14 +52,14 @@
         self._body: list[bytes] = []
 
     def feed(self, data: bytes) -> None:
-        """Parse the next bytes of the stream. Raises BadRequestError; the stream is of no use then."""
-        # Counted here too: the parser keeps a header to itself until it ends, and it need not end.
+        """Parse the next bytes of the stream. Raises BadRequestError; the stream is unusable then."""
+        # The HTTP library reports a header only once it is complete, so only this count stops an endless one.
         self._message_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             cause = error.__context__
-            if isinstance(cause, BadRequestError):  # raised in one of the callbacks below
+            if isinstance(cause, BadRequestError):  # raised by a callback below
                 raise cause from None
             raise BadRequestError(400, "malformed request") from error
         if self._in_head and self._message_bytes > MAX_HEADER_BYTES:
@@ -70,33 +70,33 @@
     # Called by the HTTP library
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a request."""
         self.in_message = True
         self._reset_message()
 
     def on_url(self, url: bytes) -> None:
-        """Collect a part of the target."""
+        """Collect a part of the target, up to the size limit."""
         self._target += url
         if len(self._target) > MAX_HEADER_BYTES:
             raise BadRequestError(431, "target too large")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header, within the limit on their size."""
+        """Collect a header, up to the limit on their total size."""
         self._size += len(name) + len(value)
         if self._size > MAX_HEADER_BYTES:
             raise BadRequestError(431, "headers too large")
-        if self._in_head:  # what trails a chunked body is none of the request's headers (RFC 9110, 6.5.1)
+        if self._in_head:  # trailers of a chunked body are dropped (RFC 9110, 6.5.1)
             self._headers.append((name, value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """Check how the body is framed, and refuse one whose stated length is over the limit."""
+        """Check the framing of the body, and reject a stated length over the limit."""
         self._in_head = False
         self._size = 0
         lengths: list[bytes] = []
         codings: list[bytes] = []
         expects_continue = False
         for name, value in self._headers:
-            # By length first: most names are none of the three, and this is done for each header.
+            # Comparing lengths first is cheaper: most headers are none of the three.
             if len(name) in FRAMING_NAME_SIZES:
                 lowered = name.lower()
                 if lowered == b"content-length":
@@ -110,14 +110,14 @@
             self._handler.continue_expected()
 
     def on_body(self, body: bytes) -> None:
-        """Collect a part of the body, within the limit on its size."""
+        """Collect a part of the body, up to the size limit."""
         self._size += len(body)
         if self._size > MAX_BODY_BYTES:
             raise BadRequestError(413, "body too large")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the complete request to the handler."""
+        """Pass the complete request to the handler."""
         self.in_message = False
         self._in_head = True
         self._message_bytes = 0
@@ -130,8 +130,8 @@
 def check_framing(lengths: list[bytes], codings: list[bytes]) -> None:
     """Check the values of Content-Length and Transfer-Encoding.
 
-    Where two lengths are stated, a second request could be smuggled in what one of them calls the body, so
-    the framing has to be unambiguous. Raises BadRequestError.
+    The framing must be unambiguous: with two stated lengths, a second request could be smuggled into the body
+    that only one of them covers. Raises BadRequestError.
     """
     if len(lengths) + len(codings) > 1 or any(coding.strip().lower() != b"chunked" for coding in codings):
         raise BadRequestError(400, "unclear length")
--- a/client_proxy/proxy/socket_state.py
+++ b/client_proxy/proxy/socket_state.py
@@ -1,4 +1,4 @@
-"""What the system already knows of a connection's other end, whether or not the loop has read so far."""
+"""Asks the kernel about the peer of a connection, ahead of what the event loop has read."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 import socket
 import struct
 
-# `struct tcp_info` of Linux (linux/tcp.h): `tcpi_last_data_recv`, milliseconds, after 52 bytes.
+# `tcpi_last_data_recv` in Linux's `struct tcp_info` (linux/tcp.h): milliseconds, at offset 52.
 LAST_DATA_RECEIVED = struct.Struct("=52xI")
 
 CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
 class SocketState:
-    """What the system knows of a stream socket. Nothing is read: what waits there stays to be read."""
+    """Kernel state of a stream socket. It reads no data from the socket."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
@@ -21,16 +21,16 @@
         self._poll.register(sock.fileno(), select.POLLIN | select.POLLRDHUP)
 
     def peer_closed(self) -> bool:
-        """Whether the other end has ended its side, or reset the connection; earlier bytes may still wait."""
+        """Whether the peer has closed or reset the connection; earlier bytes may still be unread."""
         return bool(self._events() & CLOSED)
 
     def has_unread_data(self) -> bool:
-        """Whether bytes of an open connection wait to be read."""
+        """Whether the peer's side is open and unread bytes are waiting."""
         events = self._events()
         return bool(events & select.POLLIN) and not events & CLOSED
 
     def ms_since_last_data(self) -> float:
-        """Return how long ago the last bytes came; 0 where the system does not say."""
+        """Return the time in ms since the last bytes arrived; 0 if the kernel does not state it."""
         try:
             info = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.size)
         except OSError:
--- a/client_proxy/proxy/upstream_attempt.py
+++ b/client_proxy/proxy/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one endpoint, from its start to its single result. It retries nothing."""
+"""One attempt of a request at one endpoint, from its start to its single result, without retries."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
     """How an attempt ended."""
 
     outcome: Outcome
-    latency_ms: float  # from the start of the attempt, its dial included
+    latency_ms: float  # from the start of the attempt, including its dial
     report: LoadReport | None = None
-    answer: UpstreamResponse | None = None
+    response: UpstreamResponse | None = None
 
 
 class AttemptConnection(Protocol):
-    """The connection that carries an attempt, as far as the attempt knows it."""
+    """The part of an upstream connection that its attempt uses."""
 
     attempt: UpstreamAttempt | None
 
     def abort(self) -> None:
-        """Close the connection without waiting for what it still carries."""
+        """Close the connection at once, without waiting for a response."""
 
 
-def always() -> bool:
-    """Allow the write of an attempt at any time."""
+def always_allowed() -> bool:
+    """Allow an attempt to be written at any time."""
     return True
 
 
 class UpstreamAttempt:
-    """One attempt of a request at one endpoint. It ends exactly once, and reports its result then."""
+    """One attempt of a request at one endpoint. It ends once and then reports its result."""
 
     __slots__ = (
         "_done", "_request", "_timeout_ms", "_timer", "connection", "dial", "may_have_reached_endpoint",
@@ -55,10 +55,10 @@
         """Start the attempt's timer.
 
         Args:
-            request: What is sent.
-            timeout_ms: After this time the attempt ends by itself.
+            request: The request to send.
+            timeout_ms: Time after which the attempt ends by itself.
             done: Called once, with the result.
-            still_allowed: Asked right before the first byte is written: may the request still be sent?
+            still_allowed: Called right before the first byte; returns whether the request may still be sent.
         """
         self.still_allowed = still_allowed
         self._request = request
@@ -75,31 +75,31 @@
         """Whether the result has been reported."""
         return self._done is None
 
-    def wire(self) -> bytes:
-        """Return the request as the endpoint gets it at this moment, with the time that is left now."""
+    def encode_request(self) -> bytes:
+        """Encode the request for the endpoint, with the time that remains now."""
         return self._request.encode(self._timeout_ms - (now_ms() - self.sent_ms))
 
     def _timed_out(self) -> None:
-        # A request that was never written can't have run, however long it waited for its connection.
+        # A request that was never written can't have run, so waiting for a connection is no timeout.
         self.end(Outcome.TIMEOUT if self.may_have_reached_endpoint else Outcome.CONNECT_FAILED)
 
     def cancel(self) -> None:
-        """Give the attempt up, unless it has ended."""
+        """Cancel the attempt, unless it has ended."""
         self.end(Outcome.CANCELLED)
 
     def end(
-        self, outcome: Outcome, report: LoadReport | None = None, answer: UpstreamResponse | None = None
+        self, outcome: Outcome, report: LoadReport | None = None, response: UpstreamResponse | None = None
     ) -> None:
-        """Report the result, the first time; later calls do nothing."""
+        """End the attempt and report its result; later calls do nothing."""
         done, self._done = self._done, None
         if done is None:
             return
         self._timer.cancel()
         connection, self.connection = self.connection, None
         if connection is not None and connection.attempt is self:
-            # Its response is still to come: HTTP/1.1 has no other way to give a request up than to close.
+            # The response is still pending. HTTP/1.1 can cancel a request only by closing its connection.
             connection.attempt = None
             connection.abort()
         if self.dial is not None and not self.dial.done():
             self.dial.cancel()
-        done(AttemptResult(outcome, now_ms() - self.sent_ms, report, answer))
+        done(AttemptResult(outcome, now_ms() - self.sent_ms, report, response))
--- a/client_proxy/proxy/upstream_connection.py
+++ b/client_proxy/proxy/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint: a request at a time, its response parsed, idle in between."""
+"""One connection to an endpoint: sends one request at a time, parses its response, and is idle between."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 from client_proxy.proxy.messages import MAX_BODY_BYTES, Headers, UpstreamResponse
 from client_proxy.proxy.upstream_attempt import UpstreamAttempt
 
-MAX_HEADER_BYTES = 32 * 1024
+MAX_HEADER_BYTES = 32 * 1024  # of a response, interim responses included
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamEndpoint:
-    """An endpoint at one address, in one incarnation. Another address or start time is another entry."""
+    """An endpoint at one address with one start time; if either changes, a new object replaces it."""
 
     name: str
     address: Address
     started_ms: float | None
-    idle: list[UpstreamConnection] = field(default_factory=list)  # the most recently used last
-    unavailable_since_ms: float | None = None  # when it was listed as draining or gone
-    replaced: bool = False  # restarted or moved: connections to the earlier incarnation are dead
+    idle: list[UpstreamConnection] = field(default_factory=list)  # ordered by last use, oldest first
+    unavailable_since_ms: float | None = None  # when it was first listed as draining or missing
+    replaced: bool = False  # restarted or moved, so its connections are dead
 
 
 class ConnectionOwner(Protocol):
-    """The pool, as far as its connections know it."""
+    """The part of the pool that its connections use."""
 
     slots: ConnectionSlots
     load_reports: LoadReportReader
 
     def return_connection(self, connection: UpstreamConnection) -> None:
-        """Keep a connection that has brought its response for the next request."""
+        """Keep a connection that has received its response for the next request."""
 
     def connection_rejected(self) -> None:
-        """Take note that an endpoint rejected a connection."""
+        """Record that an endpoint rejected a connection."""
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """Forget a connection; its descriptor is free again."""
+        """Release the slot of a closed connection, and remove it from the idle ones."""
 
 
 class UpstreamConnection(asyncio.Protocol):
@@ -59,16 +59,16 @@
         self.attempt: UpstreamAttempt | None = None
         self.idle_since_ms = 0.0
         self.lost = False
-        self._has_served = False  # it has brought a response
+        self._has_served = False  # it has received a response
         self._holds_slot = True
-        self._release_announced = False  # the pool knows that its descriptor is about to be free
+        self._release_announced = False  # the release of its slot was announced
         self._reset_response()
 
     def release(self) -> None:
-        """Give its connection slot back, the first time.
+        """Release the connection slot; later calls do nothing.
 
-        A dial that is cancelled while its transport is made ends twice, by the dial's own end and by the
-        transport's: without the check the pool would count one descriptor fewer than are open, for good.
+        A dial that is cancelled while its transport is created ends twice: in the dial's cleanup, and when
+        the transport closes. Releasing twice would make the pool count one open descriptor too few forever.
         """
         if self._holds_slot:
             self._holds_slot = False
@@ -80,22 +80,22 @@
         self._size = 0
         self._complete = False
         self._keep_alive = False
-        self._head_bytes: int | None = 0  # read of the heads so far, interim ones too; None: past them
+        self._head_bytes: int | None = 0  # bytes read while in a head, with interim ones; None: in the body
 
     # Called by the pool
 
     def send(self, attempt: UpstreamAttempt) -> None:
         """Write the request of an attempt.
 
-        It is written to the socket itself, past the transport's buffer: where the system takes none of it,
-        the endpoint certainly has none of it, and the attempt is known not to have run.
+        The first write goes directly to the socket, not to the transport's buffer: if the kernel accepts no
+        byte and reports an error, the endpoint certainly received none, so the attempt did not run.
         """
         self.attempt = attempt
         attempt.connection = self
         self._reset_response()
-        wire = attempt.wire()
+        encoded = attempt.encode_request()
         try:
-            sent = self._sock.send(wire)
+            sent = self._sock.send(encoded)
         except (BlockingIOError, InterruptedError):
             sent = 0
         except OSError:
@@ -103,11 +103,11 @@
             self.abort()
             return
         attempt.may_have_reached_endpoint = True
-        if sent < len(wire) and self._transport is not None:
-            self._transport.write(wire[sent:])
+        if sent < len(encoded) and self._transport is not None:
+            self._transport.write(encoded[sent:])
 
     def reusable(self) -> bool:
-        """Whether no end of stream, reset or stray byte is waiting to be read."""
+        """Whether the connection is usable: no end of stream, reset or unexpected byte is waiting."""
         if self.lost:
             return False
         try:
@@ -119,7 +119,7 @@
         return False
 
     def abort(self) -> None:
-        """Close the connection at once; its descriptor is free a turn or two of the loop later."""
+        """Close the connection at once; the loop frees its descriptor one or two iterations later."""
         self.lost = True
         if self._transport is not None:
             if self._holds_slot and not self._release_announced:
@@ -130,12 +130,12 @@
     # Called by the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport of the connection that came up."""
+        """Keep the transport of the established connection."""
         # A cast, not a check: the transports of uvloop do not derive from asyncio.Transport.
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the attempt that the connection carried, if any, and leave the pool."""
+        """End the attempt in progress, if any, and leave the pool."""
         self.lost = True
         self._pool.connection_closed(self)
         attempt = self.attempt
@@ -143,11 +143,11 @@
             attempt.end(Outcome.RESET if attempt.may_have_reached_endpoint else Outcome.CONNECT_FAILED)
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of a response, and end the attempt once the response is complete or malformed."""
+        """Parse a part of a response; end the attempt once the response is complete or malformed."""
         if self.attempt is None:
-            self.abort()  # bytes that no request asked for would be taken for the next response
+            self.abort()  # unexpected bytes would be parsed as the next response
             return
-        # Counted here: the parser keeps a header to itself until it ends, and it need not end.
+        # The parser reports a header only once it is complete, so only this count stops an endless one.
         if self._head_bytes is not None:
             self._head_bytes += len(data)
         well_formed = True
@@ -156,7 +156,7 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             well_formed = False
         if self._complete:
-            # What follows a complete response is no part of it: the response is good, the connection is not.
+            # Malformed bytes after a complete response make the connection unusable, not the response.
             self._keep_alive = self._keep_alive and well_formed
             self._response_complete(self.attempt)
         elif not well_formed or (self._head_bytes or 0) > MAX_HEADER_BYTES:
@@ -165,8 +165,8 @@
     def _response_malformed(self) -> None:
         """Fail the attempt without serving the response.
 
-        The endpoint has answered, so the connection was alive and the request runs no more: an error, not a
-        reset.
+        The endpoint has responded, so the connection was alive and the request is no longer running: the
+        outcome is an error, not a reset.
         """
         if self.attempt is not None:
             self.attempt.end(Outcome.ERROR)
@@ -174,66 +174,66 @@
 
     def _response_complete(self, attempt: UpstreamAttempt) -> None:
         status = self._parser.get_status_code()
-        answer = UpstreamResponse(status, self._headers, b"".join(self._body))
+        response = UpstreamResponse(status, self._headers, b"".join(self._body))
         report, never_ran = self._pool.load_reports.read(self._headers)
         outcome = outcome_of(status, never_ran)
         self.attempt = attempt.connection = None
         if self._keep_alive and not self.lost:
             self._pool.return_connection(self)
         else:
-            # An endpoint whose queue is full rejects requests too, but then it states its load or keeps the
-            # connection: only a first response without either tells that it takes no more connections.
+            # An endpoint with a full queue also rejects requests, but states its load or keeps the connection
+            # open. Only a first response without either means that it accepts no more connections.
             if outcome is Outcome.REJECTED and report is None and not self._has_served:
                 self._pool.connection_rejected()
             self.abort()
         self._has_served = True
-        attempt.end(outcome, report, answer)
+        attempt.end(outcome, report, response)
 
     # Called by the parser
 
     def on_message_begin(self) -> None:
-        """Refuse a second response to one request."""
+        """Reject a second response to one request."""
         if self._complete:
-            raise ValueError("more than one answer")
+            raise ValueError("more than one response to a request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header, within the limit on their size."""
+        """Collect a header, up to the limit on their total size."""
         self._size += len(name) + len(value)
         if self._size > MAX_HEADER_BYTES:
             raise ValueError("headers too large")
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Refuse a response whose stated length is over the limit, without waiting for its body."""
+        """Reject a response whose stated length is over the limit, without waiting for its body."""
         if self._parser.get_status_code() < 200:
-            return  # an interim head: the final one is to come, and counts with it
+            return  # an interim response; its head counts towards the limit of the final one
         self._head_bytes = None
         self._size = 0
-        # The parser has checked that a content length is a number.
+        # The parser has already checked that Content-Length is a number.
         if any(
             int(value) > MAX_BODY_BYTES for name, value in self._headers if name.lower() == b"content-length"
         ):
             raise ValueError("body too large")
 
     def on_body(self, body: bytes) -> None:
-        """Collect a part of the body, within the limit on its size."""
+        """Collect a part of the body, up to the size limit."""
         self._size += len(body)
         if self._size > MAX_BODY_BYTES:
             raise ValueError("body too large")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Take note that the response is complete; an interim one is dropped."""
+        """Mark the response as complete, or drop an interim one."""
         if self._parser.get_status_code() < 200:
             self._headers.clear()
         else:
             self._complete = True
-            # Asked within this call: once it returns, the parser has forgotten, and says no every time.
+            # Must be read within this callback: afterwards the parser always returns false.
             self._keep_alive = self._parser.should_keep_alive()
 
 
 def outcome_of(status: int, never_ran: bool) -> Outcome:
-    """Return the outcome of an attempt by its response's status and never-ran mark."""
+    """Return the outcome of an attempt from its response's status and never-ran mark."""
     if status == 200:
         return Outcome.OK
     if status in (503, 504) and never_ran:
--- a/client_proxy/proxy/upstream_pool.py
+++ b/client_proxy/proxy/upstream_pool.py
@@ -1,4 +1,4 @@
-"""All endpoints, the connections to them, and the idle ones among these."""
+"""The endpoints, and the pool of connections to them."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from client_proxy.proxy.dialling import Dialler, OpenSocket, open_socket
 from client_proxy.proxy.load_report import LoadReportReader
 from client_proxy.proxy.messages import ClientRequest
-from client_proxy.proxy.upstream_attempt import AttemptResult, UpstreamAttempt, always
+from client_proxy.proxy.upstream_attempt import AttemptResult, UpstreamAttempt, always_allowed
 from client_proxy.proxy.upstream_connection import UpstreamConnection, UpstreamEndpoint
 from client_proxy.routing.idle_timeout import IdleTimeout
 
 log = logging.getLogger(__name__)
 
-SWEEP_S = 1.0  # the usual time between two sweeps of idle connections
-MIN_SWEEP_S = 0.05
+SWEEP_S = 1.0  # longest time between two sweeps of idle connections
+MIN_SWEEP_S = 0.05  # shortest time between two sweeps
 SWEEPS_PER_IDLE_TIMEOUT = 4
-# Endpoints close an idle connection at the stated time at the latest, and a request that crosses that is
-# reset: ours are closed after this fraction of it.
+# Endpoints close connections after the configured idle time, and reset a request that arrives just then. So
+# the pool closes them earlier, after this fraction of it.
 IDLE_TIMEOUT_FRACTION = 0.9
-# A list counts as notified when it was written to us, not when we read it.
+# The drain grace begins when discovery writes the list, which may be earlier than the proxy reads it.
 NOTIFICATION_MARGIN_MS = 100.0
 
 
 def sweep_interval_s(idle_timeout_ms: float) -> float:
-    """Return the seconds until the next sweep of connections that may stay idle for so long."""
+    """Return the seconds until the next sweep for a given idle timeout."""
     return min(SWEEP_S, max(MIN_SWEEP_S, idle_timeout_ms / (1000.0 * SWEEPS_PER_IDLE_TIMEOUT)))
 
 
@@ -47,15 +47,15 @@
         make_socket: OpenSocket = open_socket,
         idle_timeout: IdleTimeout | None = None,
     ) -> None:
-        """Make a pool without endpoints.
+        """Create a pool without endpoints.
 
         Args:
             limits: The settings' limits on connections.
-            report_fields: Names of a load report's figures, in the order that decisions take them.
-            drain_grace_ms: For so long after an endpoint was listed as draining requests may start there.
-            connection_limit: Descriptors that connections may take, dials under way included.
-            make_socket: Makes the sockets; replaced on a network in memory.
-            idle_timeout: What operators allow to stay idle and to be opened; None: they bound nothing.
+            report_fields: Names of the load report's fields, in the order that the balancer expects.
+            drain_grace_ms: Time after an endpoint was listed as draining in which requests may still start.
+            connection_limit: Maximum number of connections, including dials in progress.
+            make_socket: Makes the sockets; replaced on an in-memory network.
+            idle_timeout: The operators' limits on idle and new connections; None: no limits.
         """
         self.load_reports = LoadReportReader(report_fields)
         self._drain_grace_ms = drain_grace_ms
@@ -67,23 +67,27 @@
         self._sweep: asyncio.TimerHandle | None = None
 
     def apply_limits(self, limits: Limits, idle_timeout: IdleTimeout | None) -> None:
-        """Go by other limits from now on, for the connections that are idle now as well."""
+        """Apply other limits, also to connections that are already idle."""
         self._idle_timeout = idle_timeout
         self._dialler.connect_timeout_s = limits.connect_timeout_ms / 1000.0
         idle_ms = limits.connection_idle_timeout_ms
         self._max_idle_ms = IDLE_TIMEOUT_FRACTION * idle_ms if idle_ms is not None else float("inf")
-        most = idle_timeout.max_connections if idle_timeout is not None else None
-        self.slots.limit = self._connection_limit if most is None else min(self._connection_limit, most)
+        max_connections = idle_timeout.max_connections if idle_timeout is not None else None
+        self.slots.limit = (
+            self._connection_limit
+            if max_connections is None
+            else min(self._connection_limit, max_connections)
+        )
 
     @property
     def open_connections(self) -> int:
-        """Descriptors of connections to endpoints, dials under way included."""
+        """Number of connections to endpoints, including dials in progress."""
         return self.slots.in_use
 
     # The endpoint list
 
     def update_endpoint(self, name: str, address: Address, started_ms: float | None, ready: bool) -> None:
-        """Take in an endpoint as it is listed now; `ready` is false while it drains."""
+        """Add or update a listed endpoint; `ready` is false while it drains."""
         endpoint = self.endpoints.get(name)
         if endpoint is None or endpoint.address != address or endpoint.started_ms != started_ms:
             if endpoint is not None:
@@ -96,10 +100,9 @@
             self._mark_unavailable(endpoint)
 
     def retain_endpoints(self, keep: Set[str], leaving: Set[str] = frozenset()) -> None:
-        """Take whatever is not in `keep` for gone.
+        """Mark all endpoints not in `keep` as unavailable, and remove them.
 
-        Of what is gone, `leaving` stays known within its grace: requests that began by an earlier list may
-        end there.
+        Those in `leaving` stay for the drain grace, for requests that were accepted under an earlier list.
         """
         for name in [name for name in self.endpoints if name not in keep]:
             self._mark_unavailable(self.endpoints[name])
@@ -107,9 +110,9 @@
                 del self.endpoints[name]
 
     def still_accepts(self, name: str, address: Address) -> bool:
-        """Whether a request that began by an earlier list may be sent there now.
+        """Whether a request accepted under an earlier list may still be sent to this endpoint.
 
-        By now the name may stand for another endpoint, or for one past its grace.
+        The name may belong to another endpoint by now, or the drain grace may be over.
         """
         endpoint = self.endpoints.get(name)
         return endpoint is not None and endpoint.address == address and not self._past_drain_grace(endpoint)
@@ -139,11 +142,11 @@
         name: str,
         timeout_ms: float,
         done: Callable[[AttemptResult], None],
-        still_allowed: Callable[[], bool] = always,
+        still_allowed: Callable[[], bool] = always_allowed,
     ) -> UpstreamAttempt | None:
-        """Begin an attempt; None if there is no such endpoint.
+        """Start an attempt; returns None if the endpoint is unknown.
 
-        `still_allowed` is asked again right before the first byte is written, which may be a dial later.
+        `still_allowed` is called now, and again after a dial, right before the first byte is written.
         """
         endpoint = self.endpoints.get(name)
         if endpoint is None:
@@ -160,16 +163,15 @@
         return attempt
 
     def _may_write(self, endpoint: UpstreamEndpoint, attempt: UpstreamAttempt) -> bool:
-        """Whether the first byte may be written now.
+        """Whether the first byte of an attempt may be written now.
 
-        Between the decision and the first byte lie a dial and whatever delayed the process. By then the
-        endpoint may have drained for too long, the endpoints may have forgotten the keys by which they would
-        drop a repeated request, and the client may have left.
+        A dial or a stall may lie between the decision and the first byte. By then the drain grace may be
+        over, the deduplication window may have passed, or the client may have left.
         """
         return not self._past_drain_grace(endpoint) and attempt.still_allowed()
 
     def _past_drain_grace(self, endpoint: UpstreamEndpoint) -> bool:
-        """Whether a request that starts there now may come after the end of the endpoint's grace."""
+        """Whether a request that starts now may reach the endpoint after its drain grace."""
         if endpoint.replaced:
             return True
         since_ms = endpoint.unavailable_since_ms
@@ -185,13 +187,13 @@
         return None
 
     async def _dial(self, endpoint: UpstreamEndpoint, attempt: UpstreamAttempt) -> None:
-        """Connect, and send the request if its attempt is still allowed."""
+        """Connect, and send the request if the attempt is still allowed."""
         if self.slots.full and not self.slots.release_expected and not self._evict_longest_idle():
             attempt.end(Outcome.CONNECT_FAILED)
             return
         if self._idle_timeout is not None and not self._idle_timeout.may_dial(now_ms()):
             self._log_idle_timeout_changes(self._idle_timeout)
-            attempt.end(Outcome.NOT_SENT)  # by our own limit: it says nothing of the endpoint
+            attempt.end(Outcome.NOT_SENT)  # the proxy's own limit, no evidence about the endpoint
             return
         if not await self._dialler.acquire_slot():
             attempt.end(Outcome.CONNECT_FAILED)
@@ -211,7 +213,7 @@
     # Idle connections
 
     def _current_idle_timeout_ms(self) -> float:
-        """Return how long a connection may stay idle now."""
+        """Return the current idle timeout of connections in ms."""
         if self._idle_timeout is None:
             return self._max_idle_ms
         timeout_ms = self._idle_timeout.idle_timeout_ms(now_ms())
@@ -219,7 +221,7 @@
         return min(self._max_idle_ms, timeout_ms)
 
     def connection_rejected(self) -> None:
-        """Take note that an endpoint rejected the first request on a connection and closed it."""
+        """Record that an endpoint rejected the first request on a connection and closed it."""
         if self._idle_timeout is not None:
             self._idle_timeout.connection_rejected(now_ms())
             self._log_idle_timeout_changes(self._idle_timeout)
@@ -230,13 +232,13 @@
             log.info("%s", text)
 
     def return_connection(self, connection: UpstreamConnection) -> None:
-        """Keep a connection that has brought its response for the next request, if it may stay idle."""
+        """Keep a connection that has received its response for the next request, if it may stay idle."""
         endpoint = connection.endpoint
         if endpoint.unavailable_since_ms is not None or endpoint.replaced:
             connection.abort()
             return
         timeout_ms = self._current_idle_timeout_ms()
-        if timeout_ms <= 0:  # connections are short at the endpoints: one connection, one request
+        if timeout_ms <= 0:  # endpoints are short of connections, so each serves one request
             connection.abort()
             return
         connection.idle_since_ms = now_ms()
@@ -245,7 +247,7 @@
             self._sweep_later(timeout_ms)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """Forget a connection; its descriptor is free again."""
+        """Release the slot of a closed connection, and remove it from the idle ones."""
         connection.release()
         if connection in connection.endpoint.idle:
             connection.endpoint.idle.remove(connection)
@@ -255,7 +257,7 @@
         self._sweep = loop.call_later(sweep_interval_s(timeout_ms), self._close_expired)
 
     def _close_expired(self) -> None:
-        """Close the connections that have been idle for too long; call again while any is left."""
+        """Close connections whose idle timeout is over; schedule another sweep while any is idle."""
         self._sweep = None
         timeout_ms = self._current_idle_timeout_ms()
         oldest_ms = now_ms() - timeout_ms
@@ -263,9 +265,17 @@
         for endpoint in self.endpoints.values():
             if not endpoint.idle:
                 continue
-            if endpoint.idle[0].idle_since_ms <= oldest_ms:  # the longest idle one of the endpoint
-                expired = [each for each in endpoint.idle if each.idle_since_ms <= oldest_ms]
-                endpoint.idle = [each for each in endpoint.idle if each.idle_since_ms > oldest_ms]
+            if endpoint.idle[0].idle_since_ms <= oldest_ms:  # the endpoint's longest idle connection
+                expired = [
+                    idle_connection
+                    for idle_connection in endpoint.idle
+                    if idle_connection.idle_since_ms <= oldest_ms
+                ]
+                endpoint.idle = [
+                    idle_connection
+                    for idle_connection in endpoint.idle
+                    if idle_connection.idle_since_ms > oldest_ms
+                ]
                 for connection in expired:
                     connection.abort()
             any_left = any_left or bool(endpoint.idle)
@@ -273,7 +283,7 @@
             self._sweep_later(timeout_ms)
 
     def _evict_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest, to make room for one more. False: none is idle."""
+        """Close the longest idle connection to free a slot. Returns False if none is idle."""
         idle = [connection for endpoint in self.endpoints.values() for connection in endpoint.idle]
         if not idle:
             return False
--- a/client_proxy/proxy/version_handover.py
+++ b/client_proxy/proxy/version_handover.py
@@ -1,4 +1,4 @@
-"""Hands over from the engine of one policy version to that of the next."""
+"""Transfers decisions and learned state from the engine of one policy version to that of the next."""
 
 from __future__ import annotations
 
@@ -12,31 +12,32 @@
 
 
 def take_over(engine: Engine, predecessor: Engine, event: EndpointsListed) -> InFlightHandover:
-    """Let `engine` decide in its predecessor's place from now on.
+    """Let `engine` replace its predecessor.
 
-    Requests that come are accepted there; what is pending at the predecessor ends there. What the
-    predecessor has learned goes along.
+    New requests go to `engine`; pending ones finish at the predecessor. The learned state of the predecessor
+    is copied.
 
     Args:
         engine: The engine of the new version.
-        predecessor: The engine that decides until now.
+        predecessor: The engine that is active until now.
         event: The complete endpoint list of the new version.
 
     Returns:
-        What counts, at the new engine, the attempts that end at earlier ones.
+        The counter, at the new engine, of attempts in flight at earlier ones.
     """
-    # Imported here: where policies never change, these modules are never loaded.
+    # Imported here: instances whose policy never changes don't load these modules.
     from client_proxy.warm_state.capture import capture_snapshot
     from client_proxy.warm_state.in_flight_handover import InFlightHandover
     from client_proxy.warm_state.restore import restore_snapshot
 
-    predecessor.flush()  # what has happened by now is learned first
+    predecessor.flush()  # handle the queued events before the state is captured
     engine.update_upstream(event)
     engine.handle_at_once(event)
     restore_snapshot(engine.balancer, capture_snapshot(predecessor.balancer))
     engine.restore_snapshot = predecessor.restore_snapshot
     engine.restore_if_listed()
-    # One retry budget: a fleet that changes its policy during a failure would fill all of its budgets anew.
+    # The retry budget is kept: with new ones, a policy change during a failure would refill all budgets of a
+    # fleet.
     engine.balancer.retry_budget = predecessor.balancer.retry_budget
     in_flight_handover = InFlightHandover(engine.balancer)
     in_flight_handover.take_over(predecessor.balancer)
--- a/tests/proxy/sockets.py
+++ b/tests/proxy/sockets.py
@@ -1,7 +1,7 @@
-"""What the socket tests share: scripted hosts, a scripted discovery, a client, and a proxy between them.
+"""Shared by the socket tests: scripted servers, a scripted discovery, a client, and a proxy between them.
 
-All on 127.0.0.1 with ports that the system picks. Nothing here waits for a time to pass: it waits for
-events, with a limit generous enough never to decide a verdict.
+All listen on 127.0.0.1, on ports that the kernel chooses. Tests wait for events, not for a time to pass; the
+timeout is so long that it never decides a result.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 from client_proxy.settings import read_settings
 
 Json = dict[str, Any]
-LIMIT_S = 60.0
+TEST_TIMEOUT_S = 60.0  # of one test, and of one wait in it
 KEYED_CLASS, UNSAFE_CLASS = "extract-issue", "entry-register"
 
 
-_processes: list[asyncio.subprocess.Process] = []  # started by the test that runs
+_processes: list[asyncio.subprocess.Process] = []  # started by the current test
 
 
 async def start_process(*command: str, **options: Any) -> asyncio.subprocess.Process:
-    """Start a process that does not outlive the test, however that ends."""
+    """Start a process that is killed at the end of the test, however the test ends."""
     process = await asyncio.create_subprocess_exec(*command, **options)
     _processes.append(process)
     return process
@@ -50,11 +50,11 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the proxy's own kind of loop."""
+    """Run a test on uvloop, the event loop that the proxy uses."""
 
     async def limited() -> None:
         try:
-            async with asyncio.timeout(LIMIT_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 await test
         finally:
             await end_processes()
@@ -63,14 +63,14 @@
 
 
 async def until(holds: Callable[[], bool]) -> None:
-    """Let the loop turn until it holds."""
-    async with asyncio.timeout(LIMIT_S):
+    """Let the loop run until the condition holds."""
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while not holds():
             await asyncio.sleep(0.002)
 
 
 def settings_json(**bounds: Any) -> Json:
-    """Settings in the configuration's form."""
+    """Settings as in the configuration file."""
     return {
         "balancers": 1,
         "bounds": {
@@ -112,12 +112,12 @@
     }
 
 
-Answer = Callable[["Host", "ReceivedRequest", asyncio.StreamWriter], Awaitable[None]]
+AnswerScript = Callable[["Host", "ReceivedRequest", asyncio.StreamWriter], Awaitable[None]]
 
 
 @dataclass
 class ReceivedRequest:
-    """A request as it came in."""
+    """A request that a scripted server received."""
 
     connection: int
     line: str
@@ -125,18 +125,18 @@
     body: bytes
 
 
-def http(status: int, body: bytes = b"", **headers: str) -> bytes:
-    """An answer as the emulated servers word it; a host of these tests may say anything else as well."""
+def http_response(status: int, body: bytes = b"", **headers: str) -> bytes:
+    """A response as the emulated servers encode it; scripted servers may also send anything else."""
     named = [f"{name.replace('_', '-')}: {value}".encode() for name, value in headers.items()]
     return encode_response(status, body, *named)
 
 
-async def served(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    writer.write(http(200, b"from " + host.name.encode()))
+async def answer_ok(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    writer.write(http_response(200, b"from " + host.name.encode()))
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """Start line, headers by lower-case name, body."""
+    """Read one message; returns its start line, headers by lower-case name, and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {
         name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:] if line)
@@ -147,10 +147,10 @@
 
 @dataclass
 class Host:
-    """A record server that does as its script says; it counts what comes."""
+    """A server that answers as its script does, and records its requests and connections."""
 
     name: str
-    answer: Answer = served
+    answer: AnswerScript = answer_ok
     received: list[ReceivedRequest] = field(default_factory=list)
     connections: int = 0
     open: int = 0
@@ -170,9 +170,9 @@
         self.writers.append(writer)
         try:
             while True:
-                got = ReceivedRequest(number, *await read_message(reader))
-                self.received.append(got)
-                await self.answer(self, got, writer)
+                received = ReceivedRequest(number, *await read_message(reader))
+                self.received.append(received)
+                await self.answer(self, received, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
@@ -188,7 +188,7 @@
 
 @dataclass
 class Registry:
-    """A discovery whose watches say what the test writes."""
+    """A discovery service whose watches send what the test writes."""
 
     calls: list[str] = field(default_factory=list)
     watches: list[asyncio.StreamWriter] = field(default_factory=list)
@@ -211,7 +211,7 @@
         self.watches.append(writer)
 
     def send_chunk(self, data: bytes) -> None:
-        """One chunk on the newest watch."""
+        """Send one chunk on the newest watch."""
         self.watches[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def change(self, *entries: Json, full: bool = False) -> bytes:
@@ -241,7 +241,7 @@
 
 @dataclass
 class Proxy:
-    """The parts of a daemon between these hosts and this registry."""
+    """The parts of a running daemon, and its scripted discovery."""
 
     engine: Engine
     listener: Listener
@@ -255,9 +255,9 @@
 
 @asynccontextmanager
 async def proxy(
-    *hosts: Host, most: int = 100, max_idle: int = 100, settings: Json | None = None
+    *hosts: Host, max_connections: int = 100, max_idle: int = 100, settings: Json | None = None
 ) -> AsyncIterator[Proxy]:
-    """A proxy in front of these hosts, ready; all is stopped at the end."""
+    """Run a ready proxy in front of these servers; all are stopped at the end."""
     registry = await Registry().start()
     for host in hosts:
         if host.server is None:
@@ -272,7 +272,7 @@
         known=None,
         sockets=1024,
     )
-    daemon = Daemon(config, quota=ConnectionQuota(100, most, max_idle))
+    daemon = Daemon(config, quota=ConnectionQuota(100, max_connections, max_idle))
     directory = daemon.directory
     port = await daemon.start()
     await until(lambda: bool(registry.watches))
@@ -291,7 +291,7 @@
 
 
 class Client:
-    """The application: one connection."""
+    """A client of the proxy, on one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
--- a/tests/proxy/test_dials.py
+++ b/tests/proxy/test_dials.py
@@ -1,4 +1,4 @@
-"""Dials called off at every step of the way give their descriptor back once, on the virtual clock."""
+"""A dial cancelled at any step releases its slot once. Runs on a virtual clock."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 @pytest.mark.parametrize("turns", range(6))
-def test_a_dial_called_off_while_its_transport_is_made(turns: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    # It used to be counted twice, so that the pool believed in fewer open descriptors than there were.
+def test_dial_cancelled_while_its_transport_is_created(turns: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    # The slot was released twice, so the pool counted fewer open descriptors than there were.
     scheduler = Scheduler()
     loop = scheduler.new_loop("proxy")
     network = MemoryNetwork(loop)
-    make = loop.create_connection
+    original_create_connection = loop.create_connection
 
     async def main() -> None:
         host = network.listen(loop, asyncio.Protocol, ("127.0.0.1", 0))
@@ -34,17 +34,17 @@
         attempt = upstream.start_attempt(request, "h", 5000.0, ended.append)
         assert attempt is not None
 
-        def cancel_after(left: int) -> None:
-            if left:
-                loop.call_soon(cancel_after, left - 1)
+        def cancel_after(turns_left: int) -> None:
+            if turns_left:
+                loop.call_soon(cancel_after, turns_left - 1)
             else:
                 attempt.cancel()
 
-        def made(*args: Any, **named: Any) -> Any:
+        def create_and_cancel(*args: Any, **named: Any) -> Any:
             cancel_after(turns)
-            return make(*args, **named)
+            return original_create_connection(*args, **named)
 
-        monkeypatch.setattr(loop, "create_connection", made)
+        monkeypatch.setattr(loop, "create_connection", create_and_cancel)
         await asyncio.sleep(1.0)
         assert [each.outcome for each in ended] == [Outcome.CANCELLED]
         assert upstream.open_connections == network.open_by(loop) == 0
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback sockets: lists and changes, dead watches, and what the balancer hears of them."""
+"""Discovery over loopback sockets: lists, changes, broken watches, and the events that the balancer gets."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from tests.proxy.sockets import Host, Registry, entry, run, until
 
 
-class Told:
-    """A discovery with what it told, and its registry."""
+class DiscoveryRecorder:
+    """A discovery client with a record of its events, and the scripted service."""
 
-    def __init__(self, registry: Registry, asked: bool = True) -> None:
+    def __init__(self, registry: Registry, balancer_subscribes: bool = True) -> None:
         self.events: list[EndpointsListed] = []
         self.directory = EndpointDirectory()
         self.registry = registry
         address = ("127.0.0.1", registry.port)
-        self.discovery = Discovery(address, asked, self.directory, self.events.append)
+        self.discovery = Discovery(address, balancer_subscribes, self.directory, self.events.append)
 
     @property
     def kinds(self) -> list[ListKind]:
@@ -41,18 +41,18 @@
 A, B = Host("a", port=1), Host("b", port=2)
 
 
-def test_whole_list_then_changes() -> None:
+def test_complete_list_then_changes() -> None:
     async def test() -> None:
         registry = await Registry().start()
-        told = Told(registry)
-        await told.subscribe()
+        recorder = DiscoveryRecorder(registry)
+        await recorder.subscribe()
         registry.send_chunk(registry.change(entry(A), entry(B), full=True))
         registry.send_chunk(registry.change(entry(A, "draining")) + registry.change(entry(B, "gone")))
-        await until(lambda: len(told.events) == 3)
-        assert told.kinds == [ListKind.FULL, ListKind.DELTA, ListKind.DELTA]
-        assert {e.name: e.state for e in told.directory.entries.values()} == {"a": EndpointState.DRAINING}
-        assert not told.directory.usable()
-        told.discovery.stop()
+        await until(lambda: len(recorder.events) == 3)
+        assert recorder.kinds == [ListKind.FULL, ListKind.DELTA, ListKind.DELTA]
+        assert {e.name: e.state for e in recorder.directory.entries.values()} == {"a": EndpointState.DRAINING}
+        assert not recorder.directory.usable()
+        recorder.discovery.stop()
         registry.stop()
 
     run(test())
@@ -61,108 +61,108 @@
 def test_chunks_that_do_not_end_on_lines() -> None:
     async def test() -> None:
         registry = await Registry().start()
-        told = Told(registry)
-        await told.subscribe()
+        recorder = DiscoveryRecorder(registry)
+        await recorder.subscribe()
         data = registry.change(entry(A), full=True) + registry.change(entry(B)) + b"\n"
         for at in range(0, len(data), 7):
             registry.send_chunk(data[at : at + 7])
             await asyncio.sleep(0)
-        await until(lambda: len(told.events) == 2)
-        assert set(told.directory.entries) == {"a", "b"}
-        told.discovery.stop()
+        await until(lambda: len(recorder.events) == 2)
+        assert set(recorder.directory.entries) == {"a", "b"}
+        recorder.discovery.stop()
         registry.stop()
 
     run(test())
 
 
-def test_call_is_answered_once_also_if_nothing_changed() -> None:
+def test_call_without_changes_is_answered_once() -> None:
     async def test() -> None:
         registry = await Registry().start()
-        told = Told(registry)
-        told.directory.apply({"index": 41, "snapshot": True, "endpoints": [entry(A)]}, restored=True)
-        await told.subscribe()
+        recorder = DiscoveryRecorder(registry)
+        recorder.directory.apply({"index": 41, "snapshot": True, "endpoints": [entry(A)]}, restored=True)
+        await recorder.subscribe()
         assert "since=41" in registry.calls[0]
         registry.send_chunk(b"\n")
         registry.send_chunk(b"\n")
         registry.send_chunk(registry.change(entry(B)))
-        await until(lambda: len(told.events) == 2)
-        assert told.events[0] == EndpointsListed(ListKind.DELTA)
-        assert set(told.directory.entries) == {"a", "b"}
-        told.discovery.stop()
+        await until(lambda: len(recorder.events) == 2)
+        assert recorder.events[0] == EndpointsListed(ListKind.DELTA)
+        assert set(recorder.directory.entries) == {"a", "b"}
+        recorder.discovery.stop()
         registry.stop()
 
     run(test())
 
 
 @pytest.mark.parametrize("how", ["reset", "silence", "unreadable", "refused"])
-def test_broken_watch_is_told_once_as_failed(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    # A cut-off discovery says nothing, not even an end of stream: only its silence tells.
+def test_broken_watch_is_reported_once_as_failed(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    # A partitioned discovery sends nothing, not even an end of stream; only a timeout detects it.
     if how == "silence":
         monkeypatch.setattr(module, "WATCH_TIMEOUT_S", 0.1)
         monkeypatch.setattr(module, "RESPONSE_TIMEOUT_S", 600.0)
 
     async def test() -> None:
         registry = await Registry().start()
-        told = Told(registry)
+        recorder = DiscoveryRecorder(registry)
         if how == "refused":
             registry.stop()
-            told.discovery.subscribe()
-            await until(lambda: ListKind.FAILED in told.kinds)
-            assert told.kinds == [ListKind.FAILED]
+            recorder.discovery.subscribe()
+            await until(lambda: ListKind.FAILED in recorder.kinds)
+            assert recorder.kinds == [ListKind.FAILED]
             return
-        await told.subscribe()
+        await recorder.subscribe()
         registry.send_chunk(registry.change(entry(A), full=True))
-        await until(lambda: len(told.events) == 1)
+        await until(lambda: len(recorder.events) == 1)
         if how == "reset":
             registry.watches[0].transport.abort()
         elif how == "unreadable":
             registry.send_chunk(b'{"index": 9, "endpoints": [{"name": "x"}]}\n')
-        await until(lambda: len(told.events) == 2)
-        assert told.kinds == [ListKind.FULL, ListKind.FAILED]
-        assert set(told.directory.entries) == {"a"}  # the old list stands
-        await told.subscribe()
-        # What could not be read may have been a change: only the whole list mends that.
+        await until(lambda: len(recorder.events) == 2)
+        assert recorder.kinds == [ListKind.FULL, ListKind.FAILED]
+        assert set(recorder.directory.entries) == {"a"}  # the last list stays
+        await recorder.subscribe()
+        # The unreadable message may have been a change, so the complete list is requested.
         assert ("since=" in registry.calls[1]) is (how != "unreadable")
-        told.discovery.stop()
+        recorder.discovery.stop()
         registry.stop()
 
     run(test())
 
 
-def test_pushed_lists_are_followed_without_being_asked_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_push_mode_follows_lists_without_a_subscription(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "RETRY_DELAY_S", 0.01)
 
     async def test() -> None:
         registry = await Registry().start()
-        told = Told(registry, asked=False)
-        told.discovery.start()
+        recorder = DiscoveryRecorder(registry, balancer_subscribes=False)
+        recorder.discovery.start()
         await until(lambda: len(registry.watches) == 1)
         registry.watches[0].transport.abort()
         await until(lambda: len(registry.watches) == 2)
         registry.send_chunk(registry.change(entry(A), full=True))
-        await until(lambda: told.kinds == [ListKind.FULL])
-        told.discovery.stop()
+        await until(lambda: recorder.kinds == [ListKind.FULL])
+        recorder.discovery.stop()
         registry.stop()
 
     run(test())
 
 
-def test_after_a_stop_nothing_is_called_any_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A call that a failure had asked for came due after the end, and a move then opened a watch of its own.
+def test_no_call_after_stop(monkeypatch: pytest.MonkeyPatch) -> None:
+    # A call scheduled after a failure ran after the stop, and a move opened a further watch.
     monkeypatch.setattr(module, "RETRY_DELAY_S", 0.0)
 
     async def test() -> None:
         registry = await Registry().start()
         elsewhere = await Registry().start()
-        told = Told(registry, asked=False)
-        told.discovery.start()
+        recorder = DiscoveryRecorder(registry, balancer_subscribes=False)
+        recorder.discovery.start()
         await until(lambda: len(registry.watches) == 1)
-        told.discovery._watch.close("lost")  # type: ignore[union-attr]  # the next call is due now
-        told.discovery.stop()
-        told.discovery.subscribe()
-        told.discovery.move(("127.0.0.1", elsewhere.port))
-        probe = Told(registry)
-        await probe.subscribe()  # whatever was due has come before it
+        recorder.discovery._watch.close("lost")  # type: ignore[union-attr]  # the next call is scheduled for now
+        recorder.discovery.stop()
+        recorder.discovery.subscribe()
+        recorder.discovery.move(("127.0.0.1", elsewhere.port))
+        probe = DiscoveryRecorder(registry)
+        await probe.subscribe()  # all scheduled calls have run before it
         assert (len(registry.calls), elsewhere.calls) == (2, [])
         probe.discovery.stop()
         registry.stop()
@@ -171,29 +171,29 @@
     run(test())
 
 
-@pytest.mark.parametrize("asked", [True, False])
-def test_a_call_that_was_due_leaves_the_watch_of_a_move_alone(
-    asked: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("balancer_subscribes", [True, False])
+def test_call_scheduled_before_a_move_keeps_the_new_watch(
+    balancer_subscribes: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, "RETRY_DELAY_S", 0.0)
 
     async def test() -> None:
         registry, elsewhere = await Registry().start(), await Registry().start()
-        told = Told(registry, asked=asked)
-        told.discovery.subscribe()
+        recorder = DiscoveryRecorder(registry, balancer_subscribes=balancer_subscribes)
+        recorder.discovery.subscribe()
         await until(lambda: len(registry.watches) == 1)
-        told.discovery._watch.close("lost")  # type: ignore[union-attr]
-        told.discovery.move(("127.0.0.1", elsewhere.port))
+        recorder.discovery._watch.close("lost")  # type: ignore[union-attr]
+        recorder.discovery.move(("127.0.0.1", elsewhere.port))
         await until(lambda: len(elsewhere.watches) == 1)
-        if asked:
-            told.discovery.subscribe()  # as the balancer asks after the failure
-        probe = Told(registry)
-        await probe.subscribe()  # whatever was due has come before it
+        if balancer_subscribes:
+            recorder.discovery.subscribe()  # as the balancer does after the failure
+        probe = DiscoveryRecorder(registry)
+        await probe.subscribe()  # all scheduled calls have run before it
         elsewhere.send_chunk(elsewhere.change(entry(A), full=True))
-        await until(lambda: set(told.directory.entries) == {"a"})
+        await until(lambda: set(recorder.directory.entries) == {"a"})
         assert (len(registry.calls), len(elsewhere.calls)) == (2, 1)
         probe.discovery.stop()
-        told.discovery.stop()
+        recorder.discovery.stop()
         registry.stop()
         elsewhere.stop()
 
@@ -202,15 +202,15 @@
 
 @pytest.mark.parametrize("change", ["draining", "gone"])
 @pytest.mark.parametrize("when", ["before the move", "after the move"])
-def test_what_the_old_service_tells_beside_a_move_is_heard(when: str, change: str) -> None:
-    # Written before the move and not yet read, it counts as told; with the old watch it was thrown away.
+def test_change_at_the_old_service_around_a_move_is_applied(when: str, change: str) -> None:
+    # A change written before the move, but not yet read, counts as notified; it was lost with the old watch.
     async def test() -> None:
         registry, elsewhere = await Registry().start(), await Registry().start()
-        told = Told(registry)
-        await told.subscribe()
+        recorder = DiscoveryRecorder(registry)
+        await recorder.subscribe()
         registry.send_chunk(registry.change(entry(A), entry(B), full=True))
-        await until(lambda: len(told.events) == 1)
-        former = told.discovery._watch
+        await until(lambda: len(recorder.events) == 1)
+        former = recorder.discovery._watch
         assert former is not None
         assert former._transport is not None
         transport = former._transport
@@ -220,78 +220,78 @@
             peer = SocketState(transport.get_extra_info("socket"))
             await until(peer.has_unread_data)
             transport.resume_reading()
-        told.discovery.move(("127.0.0.1", elsewhere.port))
+        recorder.discovery.move(("127.0.0.1", elsewhere.port))
         if when == "after the move":
             registry.send_chunk(registry.change(entry(A, change)))
-        # The new service works through its calls: it has not answered yet.
-        await until(lambda: len(told.events) == 2)
-        stands = {
-            name for name, known in told.directory.entries.items() if known.state is EndpointState.READY
+        # The new service has not answered yet.
+        await until(lambda: len(recorder.events) == 2)
+        ready_names = {
+            name for name, known in recorder.directory.entries.items() if known.state is EndpointState.READY
         }
-        assert stands == {"b"}
+        assert ready_names == {"b"}
         await until(lambda: len(elsewhere.watches) == 1)
         assert "since" not in elsewhere.calls[0]
-        # Its answer is what holds from then on, and an index of the old service is never told to it.
+        # Its list replaces the old one, and it never gets an index of the old service.
         elsewhere.send_chunk(elsewhere.change(entry(B), full=True))
-        await until(lambda: len(told.events) == 3)
+        await until(lambda: len(recorder.events) == 3)
         assert transport.is_closing()
-        assert set(told.directory.entries) == {"b"}
+        assert set(recorder.directory.entries) == {"b"}
         elsewhere.watches[0].transport.abort()
-        await until(lambda: told.kinds[-1] is ListKind.FAILED)
-        await told.subscribe_at(elsewhere)
+        await until(lambda: recorder.kinds[-1] is ListKind.FAILED)
+        await recorder.subscribe_at(elsewhere)
         assert f"since={elsewhere.index}" in elsewhere.calls[1]
         assert len(registry.calls) == 1
-        told.discovery.stop()
+        recorder.discovery.stop()
         registry.stop()
         elsewhere.stop()
 
     run(test())
 
 
-def test_an_index_of_the_old_service_is_not_told_to_the_new_one() -> None:
-    # The first call to the new service fails, after the old one has told a change.
+def test_index_of_the_old_service_is_not_sent_to_the_new_one() -> None:
+    # The first call to the new service fails, after the old service has sent a change.
     async def test() -> None:
         registry, elsewhere = await Registry().start(), await Registry().start()
-        told = Told(registry)
-        await told.subscribe()
+        recorder = DiscoveryRecorder(registry)
+        await recorder.subscribe()
         registry.send_chunk(registry.change(entry(A), full=True))
-        await until(lambda: len(told.events) == 1)
-        told.discovery.move(("127.0.0.1", elsewhere.port))
+        await until(lambda: len(recorder.events) == 1)
+        recorder.discovery.move(("127.0.0.1", elsewhere.port))
         registry.send_chunk(registry.change(entry(A, "draining")))
-        await until(lambda: len(told.events) == 2 and len(elsewhere.watches) == 1)
+        await until(lambda: len(recorder.events) == 2 and len(elsewhere.watches) == 1)
         elsewhere.watches[0].transport.abort()
-        await until(lambda: told.kinds[-1] is ListKind.FAILED)
-        registry.watches[0].transport.abort()  # its end is no failure of the new one
-        await told.subscribe_at(elsewhere)
+        await until(lambda: recorder.kinds[-1] is ListKind.FAILED)
+        registry.watches[0].transport.abort()  # the end of the old watch is no failure of the new service
+        await recorder.subscribe_at(elsewhere)
         assert "since" not in elsewhere.calls[1]
-        assert told.kinds == [ListKind.FULL, ListKind.DELTA, ListKind.FAILED]
-        told.discovery.stop()
+        assert recorder.kinds == [ListKind.FULL, ListKind.DELTA, ListKind.FAILED]
+        recorder.discovery.stop()
         registry.stop()
         elsewhere.stop()
 
     run(test())
 
 
-def test_moved_twice_the_first_service_is_heard_until_the_last_has_answered() -> None:
+def test_after_two_moves_the_first_service_is_followed_until_the_last_answers() -> None:
     async def test() -> None:
         registries = [await Registry().start() for _ in range(3)]
         first, second, third = registries
-        told = Told(first)
-        await told.subscribe()
+        recorder = DiscoveryRecorder(first)
+        await recorder.subscribe()
         first.send_chunk(first.change(entry(A), entry(B), full=True))
-        await until(lambda: len(told.events) == 1)
-        told.discovery.move(("127.0.0.1", second.port))
+        await until(lambda: len(recorder.events) == 1)
+        recorder.discovery.move(("127.0.0.1", second.port))
         await until(lambda: len(second.watches) == 1)
-        told.discovery.move(("127.0.0.1", third.port))
+        recorder.discovery.move(("127.0.0.1", third.port))
         await until(lambda: len(third.watches) == 1)
-        second.send_chunk(second.change(full=True))  # it is not followed any more
+        second.send_chunk(second.change(full=True))  # the second service is no longer followed
         first.send_chunk(first.change(entry(A, "draining")))
-        await until(lambda: len(told.events) == 2)
-        assert told.events[1].endpoints[0].state is EndpointState.DRAINING
+        await until(lambda: len(recorder.events) == 2)
+        assert recorder.events[1].endpoints[0].state is EndpointState.DRAINING
         third.send_chunk(third.change(entry(B), full=True))
-        await until(lambda: set(told.directory.entries) == {"b"})
-        assert len(told.events) == 3
-        told.discovery.stop()
+        await until(lambda: set(recorder.directory.entries) == {"b"})
+        assert len(recorder.events) == 3
+        recorder.discovery.stop()
         for registry in registries:
             registry.stop()
 
@@ -300,8 +300,8 @@
 
 @pytest.mark.parametrize("figure", ["weight", "since_ms", "group"])
 @pytest.mark.parametrize("value", ["-Infinity", "NaN", "1e999", '"x"'])
-def test_a_line_with_a_figure_that_is_none_is_taken_in_not_at_all(figure: str, value: str) -> None:
-    # One infinite weight would stay in every mean of the weights.
+def test_message_with_an_invalid_number_is_rejected_whole(figure: str, value: str) -> None:
+    # An infinite weight would make every mean of the weights infinite.
     directory = EndpointDirectory()
     directory.apply({"index": 1, "snapshot": True, "endpoints": [entry(A)]})
     bad = json.loads(json.dumps({**entry(B), figure: 0}).replace(f'"{figure}": 0', f'"{figure}": {value}'))
@@ -310,8 +310,8 @@
     assert (set(directory.entries), directory.index) == ({"a"}, 1)
 
 
-def test_start_time_is_the_same_whenever_it_is_told() -> None:
-    # The balancer takes another start time for a restart and forgets what it knew of the host.
+def test_start_time_is_equal_in_each_message() -> None:
+    # The balancer treats another start time as a restart, and forgets its statistics of the endpoint.
     directory = EndpointDirectory()
     message = {"index": 1, "snapshot": True, "endpoints": [entry(A, since_ms=1_700_000_000_000)]}
     first, second = directory.apply(message), directory.apply(message)
@@ -321,7 +321,7 @@
 
 
 def test_unknown_status_is_not_ready() -> None:
-    # Read as an error, one such entry would keep the whole list from us for good.
+    # Treated as an error, one such entry would make the whole list unusable.
     directory = EndpointDirectory()
     directory.apply({"index": 1, "snapshot": True, "endpoints": [entry(A, "resting"), entry(B)]})
     assert [e.state for e in directory.entries.values()] == [EndpointState.DRAINING, EndpointState.READY]
--- a/tests/proxy/test_forms.py
+++ b/tests/proxy/test_forms.py
@@ -1,6 +1,6 @@
-"""Requests in every form that HTTP/1.1 and the protocol allow, whole, byte by byte and many at once.
+"""Requests in every form that HTTP/1.1 and the protocol allow: whole, byte by byte, and pipelined.
 
-Each gets one final answer, in its turn, and reaches a host as it was meant, also while a host is drained."""
+Each gets one final response in order, and reaches an endpoint unchanged, also during a drain."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     Json,
     ReceivedRequest,
     entry,
-    http,
+    http_response,
     proxy,
     run,
     settings_json,
@@ -33,8 +33,8 @@
 EXPIRES_MS = 60_000
 
 
-def patient() -> Json:
-    """Settings with a class of each effect, by which nothing but the test ends a request."""
+def settings_without_timeouts() -> Json:
+    """Settings with a class of each effect, and deadlines so long that only the test ends a request."""
     settings = settings_json()
     settings["categories"].append({"name": SAFE_CLASS, "effect": "retryable", "worth": 1.0})
     for cls in settings["categories"]:
@@ -42,23 +42,23 @@
     return settings
 
 
-def worded(number: int, start: str, *lines: str, body: bytes = BODY, named: bool = True) -> bytes:
-    """A request in these words, with an id of its own."""
-    own = (f"X-Trace-Id: t{number}", f"Idempotency-Key: {KEY}") if named else ()
-    head = [start, *own, f"X-Expires-In-Ms: {EXPIRES_MS}", *lines]
+def encode_request(number: int, start: str, *lines: str, body: bytes = BODY, with_ids: bool = True) -> bytes:
+    """Encode a request with this start line, these header lines, and a unique trace id."""
+    id_headers = (f"X-Trace-Id: t{number}", f"Idempotency-Key: {KEY}") if with_ids else ()
+    head = [start, *id_headers, f"X-Expires-In-Ms: {EXPIRES_MS}", *lines]
     return "".join(f"{line}\r\n" for line in head).encode("latin-1") + b"\r\n" + body
 
 
-def keyed(number: int, *lines: str, body: bytes = BODY, target: str = "", named: bool = True) -> bytes:
+def keyed(number: int, *lines: str, body: bytes = BODY, target: str = "", with_ids: bool = True) -> bytes:
     target = target or f"/{KEYED_CLASS}/7f3a?n={number}"
-    return worded(number, f"POST {target} HTTP/1.1", *lines, body=body, named=named)
+    return encode_request(number, f"POST {target} HTTP/1.1", *lines, body=body, with_ids=with_ids)
 
 
 LENGTH = f"Content-Length: {len(BODY)}"
 
 
 def forms() -> Iterator[tuple[str, bytes]]:
-    """By name. Each is one keyed request with the id `t1`, the key `KEY` and the body `BODY`."""
+    """Yield pairs of a name and a keyed request with trace id `t1`, key `KEY` and body `BODY`."""
     yield "as shown", keyed(1, LENGTH, "Host: app.svc")
     yield (
         "names in lower case",
@@ -66,17 +66,22 @@
     )
     yield (
         "names in upper case",
-        keyed(1, f"X-TRACE-ID: t1\r\nIDEMPOTENCY-KEY: {KEY}\r\nCONTENT-LENGTH: 4", named=False),
+        keyed(1, f"X-TRACE-ID: t1\r\nIDEMPOTENCY-KEY: {KEY}\r\nCONTENT-LENGTH: 4", with_ids=False),
     )
     yield (
         "no space before values",
-        keyed(1, f"X-Trace-Id:t1\r\nIdempotency-Key:{KEY}\r\n{LENGTH}", named=False),
+        keyed(1, f"X-Trace-Id:t1\r\nIdempotency-Key:{KEY}\r\n{LENGTH}", with_ids=False),
     )
     yield (
         "spaces and tabs round values",
-        keyed(1, f"X-Trace-Id: \t t1 \t\r\nIdempotency-Key:\t{KEY}  \r\nContent-Length:   4 ", named=False),
+        keyed(
+            1, f"X-Trace-Id: \t t1 \t\r\nIdempotency-Key:\t{KEY}  \r\nContent-Length:   4 ", with_ids=False
+        ),
+    )
+    yield (
+        "in another order",
+        keyed(1, f"{LENGTH}\r\nIdempotency-Key: {KEY}\r\nX-Trace-Id: t1", with_ids=False),
     )
-    yield "in another order", keyed(1, f"{LENGTH}\r\nIdempotency-Key: {KEY}\r\nX-Trace-Id: t1", named=False)
     yield "after empty lines", b"\r\n\r\n" + keyed(1, LENGTH)
     yield "with zeros before the length", keyed(1, "Content-Length: 0004")
     yield "with empty headers", keyed(1, LENGTH, "X-Empty:", "X-Blank:   ")
@@ -104,32 +109,32 @@
 
 @pytest.mark.parametrize("piece", [1, 7, 100_000])
 @pytest.mark.parametrize("form", FORMS)
-def test_each_form_reaches_a_host_as_it_was_meant(
+def test_each_form_reaches_an_endpoint_unchanged(
     form: str, piece: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     encode = ClientRequest.encode
     sent: list[bytes] = []
 
-    def recorded(self: ClientRequest, left_ms: float) -> bytes:
+    def record_encoding(self: ClientRequest, left_ms: float) -> bytes:
         sent.append(encode(self, left_ms))
         return sent[-1]
 
-    monkeypatch.setattr(ClientRequest, "encode", recorded)
+    monkeypatch.setattr(ClientRequest, "encode", record_encoding)
 
     async def test() -> None:
         host = Host("h")
-        async with proxy(host, settings=patient()) as p:
+        async with proxy(host, settings=settings_without_timeouts()) as p:
             client = await Client.connect(p.port)
             await send_in_pieces(client, FORMS[form], piece)
             assert (await client.answer())[0] == 200
-            await send_in_pieces(client, keyed(2, LENGTH), piece)  # the connection is fit for another
+            await send_in_pieces(client, keyed(2, LENGTH), piece)  # the connection serves another request
             assert (await client.answer())[0] == 200
             first, second = host.received
             assert first.line == f"POST /{KEYED_CLASS}/7f3a?n=1 HTTP/1.1"
             assert (first.headers["x-trace-id"], first.headers["idempotency-key"]) == ("t1", KEY)
             assert (first.body, second.headers["x-trace-id"]) == (BODY, "t2")
             assert not {"x-hop", "x-late", "transfer-encoding"} & first.headers.keys()
-            # A host may take every byte of a value for a part of it.
+            # An endpoint may treat white space around a value as a part of it.
             lines = sent[0].lower().split(b"\r\n")
             assert b"x-trace-id: t1" in lines
             assert b"idempotency-key: " + KEY.encode() in lines
@@ -139,7 +144,7 @@
 
 
 async def send_in_pieces(client: Client, data: bytes, piece: int) -> None:
-    """Each piece is a segment of its own, and the proxy's loop turns in between."""
+    """Send data in pieces, with a loop iteration of the proxy after each."""
     for at in range(0, len(data), piece):
         client.writer.write(data[at : at + piece])
         await asyncio.sleep(0)
@@ -148,30 +153,28 @@
 @pytest.mark.parametrize("piece", [1, 1000, 1_000_000])
 @pytest.mark.parametrize("close", [False, True], ids=["kept alive", "closed by the last"])
 @pytest.mark.parametrize("drain", ["the busy host", "the idle host"])
-def test_many_at_once_are_answered_in_order_with_a_drain_in_the_middle(
-    piece: int, close: bool, drain: str
-) -> None:
-    # The host that is drained goes on answering, and the other gets what comes from then on.
+def test_pipelined_requests_are_answered_in_order_during_a_drain(piece: int, close: bool, drain: str) -> None:
+    # The draining endpoint finishes its request, and the other one gets all later requests.
     count, drained_at = 60 if piece > 1 else 12, 5
 
-    async def echo(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def echo(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         if len(order) == drained_at:
             await drained.wait()
         order.append(host.name)
-        writer.write(http(200, got.headers["x-trace-id"].encode()))
+        writer.write(http_response(200, received.headers["x-trace-id"].encode()))
 
     async def test() -> None:
         hosts = Host("a", echo), Host("b", echo)
-        async with proxy(*hosts, settings=patient()) as p:
+        async with proxy(*hosts, settings=settings_without_timeouts()) as p:
             client = await Client.connect(p.port)
-            data = b"".join(one_of_each(number) for number in range(count))
+            data = b"".join(request_of_each_kind(number) for number in range(count))
             data += keyed(count, LENGTH, "Connection: close") if close else b""
             sending = asyncio.create_task(send_in_pieces(client, data, piece))
             await until(lambda: len(order) == drained_at < sum(len(host.received) for host in hosts))
             busy, idle = sorted(hosts, key=lambda host: len(host.received) == order.count(host.name))
-            leaves = busy if drain == "the busy host" else idle
-            p.registry.send_chunk(p.registry.change(entry(leaves, "draining")))
-            await until(lambda: p.directory.entries[leaves.name].state is EndpointState.DRAINING)
+            drained_host = busy if drain == "the busy host" else idle
+            p.registry.send_chunk(p.registry.change(entry(drained_host, "draining")))
+            await until(lambda: p.directory.entries[drained_host.name].state is EndpointState.DRAINING)
             drained.set()
             bodies = [await client.answer() for _ in range(count + close)]
             await sending
@@ -179,7 +182,7 @@
                 (200, f"t{number}".encode()) for number in range(count + close)
             ]
             assert order[drained_at] == busy.name
-            assert leaves.name not in order[drained_at + 1 :]
+            assert drained_host.name not in order[drained_at + 1 :]
             if close:
                 assert bodies[-1][1]["connection"] == "close"
                 assert await client.reader.read() == b""
@@ -191,13 +194,13 @@
     run(test())
 
 
-def one_of_each(number: int) -> bytes:
-    """Requests of the three effects in turn."""
+def request_of_each_kind(number: int) -> bytes:
+    """Return a safe, a keyed or an unsafe request, in turn."""
     if number % 3 == 0:
-        return worded(number, f"GET /{SAFE_CLASS}/7f3a HTTP/1.1", body=b"")
+        return encode_request(number, f"GET /{SAFE_CLASS}/7f3a HTTP/1.1", body=b"")
     if number % 3 == 1:
         return keyed(number, LENGTH)
-    return worded(
+    return encode_request(
         number, f"POST /{UNSAFE_CLASS} HTTP/1.1", "Transfer-Encoding: chunked", body=b"4\r\nform\r\n0\r\n\r\n"
     )
 
@@ -214,5 +217,5 @@
         (b"*", b"*"),
     ],
 )
-def test_the_path_of_a_whole_url(target: bytes, path: bytes) -> None:
+def test_origin_form_of_a_target(target: bytes, path: bytes) -> None:
     assert origin_form(target) == path
