--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -1,4 +1,4 @@
-"""The application's side over loopback sockets: one final answer each, bounds, and an orderly end."""
+"""The client side over loopback sockets: one final response for each request, limits, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -22,23 +22,27 @@
     Client,
     Host,
     ReceivedRequest,
+    answer_ok,
     entry,
-    http,
+    http_response,
     proxy,
     run,
-    served,
     settings_json,
     until,
 )
 
 
-async def silent(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def silent(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     pass
 
 
-def test_request_goes_on_unchanged_and_the_answer_comes_back() -> None:
-    async def echo(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        writer.write(http(200, got.body[::-1], Content_Type="text/x", Endpoint_Load_Metrics="TEXT queue=1"))
+def test_request_and_response_are_forwarded_unchanged() -> None:
+    async def echo(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writer.write(
+            http_response(
+                200, received.body[::-1], Content_Type="text/x", Endpoint_Load_Metrics="TEXT queue=1"
+            )
+        )
 
     async def test() -> None:
         host = Host("h", echo)
@@ -48,17 +52,21 @@
             status, headers, answer = await client.ask(KEYED_CLASS, body=body, key="abc", X_Other="o")
             assert (status, answer, headers["content-type"]) == (200, body[::-1], "text/x")
             assert "endpoint-load-metrics" not in headers
-            (got,) = host.received
-            assert got.line == f"POST /{KEYED_CLASS}/7f3a HTTP/1.1"
-            assert (got.body, got.headers["idempotency-key"], got.headers["x-other"]) == (body, "abc", "o")
-            assert got.headers["x-trace-id"]
-            assert 0 < int(got.headers["x-expires-in-ms"]) <= 5000
+            (received,) = host.received
+            assert received.line == f"POST /{KEYED_CLASS}/7f3a HTTP/1.1"
+            assert (received.body, received.headers["idempotency-key"], received.headers["x-other"]) == (
+                body,
+                "abc",
+                "o",
+            )
+            assert received.headers["x-trace-id"]
+            assert 0 < int(received.headers["x-expires-in-ms"]) <= 5000
             client.close()
 
     run(test())
 
 
-def test_ready_once_a_usable_list_is_there() -> None:
+def test_readiness_follows_the_usable_endpoints() -> None:
     async def test() -> None:
         host = Host("h")
         async with proxy(host) as p:
@@ -77,8 +85,8 @@
     run(test())
 
 
-def test_final_answer_comes_before_the_deadline() -> None:
-    # The client is gone at its deadline: what is still out then is ended, and answered a little before.
+def test_final_response_precedes_the_deadline() -> None:
+    # The client leaves at its deadline, so an attempt still in flight is ended and answered shortly before.
     async def test() -> None:
         host = Host("h", silent)
         async with proxy(host) as p:
@@ -91,37 +99,37 @@
     run(test())
 
 
-def test_guard_answers_whatever_the_balancer_does(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A balancer that never ends a request: one that may have run fails, one that can't have is refused.
-    act = Balancer.handle
+def test_guard_answers_if_the_balancer_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The balancer never ends a request: one that may have run fails, one that can't have run is rejected.
+    original_handle = Balancer.handle
 
-    def mute(self: Balancer, now_ms: float, events: Sequence[Event]) -> list[Action]:
-        return [a for a in act(self, now_ms, events) if type(a).__name__ in allowed]
+    def drop_other_actions(self: Balancer, now_ms: float, events: Sequence[Event]) -> list[Action]:
+        return [a for a in original_handle(self, now_ms, events) if type(a).__name__ in allowed]
 
     allowed = {"Send", "Subscribe"}
-    monkeypatch.setattr(Balancer, "handle", mute)
+    monkeypatch.setattr(Balancer, "handle", drop_other_actions)
 
     async def test() -> None:
         host = Host("h", silent)
         async with proxy(host) as p:
-            for let, expected in ({"Send"}, (502, 504)), (set[str](), (503,)):
+            for allowed_now, expected in ({"Send"}, (502, 504)), (set[str](), (503,)):
                 allowed.clear()
-                allowed.update(let)
+                allowed.update(allowed_now)
                 client = await Client.connect(p.port)
                 began = time.monotonic()
                 status, _, _ = await client.ask(expires_ms=1200)
                 assert status in expected
-                assert time.monotonic() - began >= 1.0  # not before its time either
+                assert time.monotonic() - began >= 1.0  # and not too early
                 await until(lambda: p.engine.pending_count == 0)
                 client.close()
 
     run(test())
 
 
-def test_client_that_leaves_ends_its_attempts() -> None:
+def test_client_disconnect_cancels_its_attempts() -> None:
     async def test() -> None:
         host = Host("h", silent)
-        # So long that nothing else ends it.
+        # Deadlines so long that nothing else ends the request.
         settings = settings_json()
         for cls in settings["categories"]:
             cls["aim_ms"] = cls["deadline_ms"] = 600_000.0
@@ -136,7 +144,7 @@
     run(test())
 
 
-def test_no_hosts_is_a_refusal() -> None:
+def test_request_without_endpoints_is_rejected() -> None:
     async def test() -> None:
         host = Host("h")
         async with proxy(host) as p:
@@ -149,63 +157,63 @@
     run(test())
 
 
-def worded(cls: str = UNSAFE_CLASS, *lines: str, method: str = "POST") -> bytes:
-    """The head of a request, in these words."""
+def encode_head(cls: str = UNSAFE_CLASS, *lines: str, method: str = "POST") -> bytes:
+    """Encode the head of a request with these header lines."""
     head = [f"{method} /{cls}/7f3a HTTP/1.1", "X-Trace-Id: 1", *lines]
     return "".join(f"{line}\r\n" for line in head).encode("latin-1") + b"\r\n"
 
 
-BAD = [
+MALFORMED_REQUESTS = [
     (b"nonsense\r\n\r\n", 400),
     (b"POST /entry-register HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400),
     (b"POST / HTTP/1.1\r\nX-Trace-Id: 1\r\nContent-Length: 0\r\n\r\n", 400),
     (b"POST /entry-register HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 400),  # no trace id
-    (worded(UNSAFE_CLASS, "X-Expires-In-Ms: soon", "Content-Length: 0"), 400),
-    (worded(UNSAFE_CLASS, "X-Expires-In-Ms: nan", "Content-Length: 0"), 400),
-    (worded(UNSAFE_CLASS, "X-Expires-In-Ms: -1", "Content-Length: 0"), 400),
+    (encode_head(UNSAFE_CLASS, "X-Expires-In-Ms: soon", "Content-Length: 0"), 400),
+    (encode_head(UNSAFE_CLASS, "X-Expires-In-Ms: nan", "Content-Length: 0"), 400),
+    (encode_head(UNSAFE_CLASS, "X-Expires-In-Ms: -1", "Content-Length: 0"), 400),
     (b"GET /c HTTP/1.1\r\nUpgrade: h2c\r\nConnection: upgrade\r\n\r\n", 400),
     (b"POST /entry-register HTTP/1.1\r\nX-Trace-Id: 1\r\nContent-Length: 65537\r\n\r\n" + b"x" * 65537, 413),
     (b"GET /c HTTP/1.1\r\nX-Much: " + b"x" * 20_000 + b"\r\n\r\n", 431),
     (b"GET /c HTTP/1.1\r\nX-Endless: " + b"x" * 20_000, 431),
     (b"GET /" + b"x" * 20_000, 431),
-    (worded("unheard-of"), 404),
-    (worded(method="GET"), 405),
-    # The hosts can't drop a repeat that carries no key: a second try would run twice.
-    (worded(KEYED_CLASS), 400),
-    (worded(KEYED_CLASS, "Idempotency-Key:"), 400),
-    # Two lengths: another request may hide in what one of them calls the body.
-    (worded(UNSAFE_CLASS, "Transfer-Encoding: chunked", "Content-Length: 4"), 400),
-    (worded(UNSAFE_CLASS, "Content-Length: 4", "Transfer-Encoding: chunked"), 400),
-    (worded(UNSAFE_CLASS, "Content-Length: 4", "Content-Length: 4"), 400),
-    (worded(UNSAFE_CLASS, "Content-Length: 4", "Content-Length: 5"), 400),
-    (worded(UNSAFE_CLASS, "Transfer-Encoding: gzip, chunked"), 400),
-    (worded(UNSAFE_CLASS, "Transfer-Encoding: chunked", "Transfer-Encoding: chunked"), 400),
-    (worded(UNSAFE_CLASS, "Content-Length: +4"), 400),
-    (worded(UNSAFE_CLASS, "Content-Length: -4"), 400),
-    (worded(UNSAFE_CLASS, "Content-Length: 99999999999999999999999999"), 400),
-    (worded(UNSAFE_CLASS, "Content-Length: 60000000"), 413),  # at once, before the body
-    # The proxy would go by one of them, and the host perhaps by the other.
-    (worded(UNSAFE_CLASS, "X-Trace-Id: other", "Content-Length: 0"), 400),
-    (worded(UNSAFE_CLASS, "X-Expires-In-Ms: 5", "X-Expires-In-Ms: 50", "Content-Length: 0"), 400),
-    (worded(UNSAFE_CLASS, "X-Expires-In-Ms: 1_0", "Content-Length: 0"), 400),
-    (worded(UNSAFE_CLASS, "X-Expires-In-Ms: 9" + "9" * 30, "Content-Length: 0"), 400),
-    (worded(UNSAFE_CLASS, "X-Other: a\x01b", "Content-Length: 0"), 400),
-    # A chunked body's own figures and trailers are no body, and need not end.
-    (worded(UNSAFE_CLASS, "Transfer-Encoding: chunked") + b"1;" + b"x" * 400_000, 413),
-    (worded(UNSAFE_CLASS, "Transfer-Encoding: chunked") + b"0\r\nX-T: " + b"x" * 400_000, 413),
+    (encode_head("unheard-of"), 404),
+    (encode_head(method="GET"), 405),
+    # Endpoints can't deduplicate a request without a key, so a retry would run twice.
+    (encode_head(KEYED_CLASS), 400),
+    (encode_head(KEYED_CLASS, "Idempotency-Key:"), 400),
+    # With two lengths, a second request may hide in the body that only one of them covers.
+    (encode_head(UNSAFE_CLASS, "Transfer-Encoding: chunked", "Content-Length: 4"), 400),
+    (encode_head(UNSAFE_CLASS, "Content-Length: 4", "Transfer-Encoding: chunked"), 400),
+    (encode_head(UNSAFE_CLASS, "Content-Length: 4", "Content-Length: 4"), 400),
+    (encode_head(UNSAFE_CLASS, "Content-Length: 4", "Content-Length: 5"), 400),
+    (encode_head(UNSAFE_CLASS, "Transfer-Encoding: gzip, chunked"), 400),
+    (encode_head(UNSAFE_CLASS, "Transfer-Encoding: chunked", "Transfer-Encoding: chunked"), 400),
+    (encode_head(UNSAFE_CLASS, "Content-Length: +4"), 400),
+    (encode_head(UNSAFE_CLASS, "Content-Length: -4"), 400),
+    (encode_head(UNSAFE_CLASS, "Content-Length: 99999999999999999999999999"), 400),
+    (encode_head(UNSAFE_CLASS, "Content-Length: 60000000"), 413),  # rejected at once, before the body
+    # The proxy might use one of them, and the endpoint the other.
+    (encode_head(UNSAFE_CLASS, "X-Trace-Id: other", "Content-Length: 0"), 400),
+    (encode_head(UNSAFE_CLASS, "X-Expires-In-Ms: 5", "X-Expires-In-Ms: 50", "Content-Length: 0"), 400),
+    (encode_head(UNSAFE_CLASS, "X-Expires-In-Ms: 1_0", "Content-Length: 0"), 400),
+    (encode_head(UNSAFE_CLASS, "X-Expires-In-Ms: 9" + "9" * 30, "Content-Length: 0"), 400),
+    (encode_head(UNSAFE_CLASS, "X-Other: a\x01b", "Content-Length: 0"), 400),
+    # Chunk extensions and trailers do not count as body, and could be endless.
+    (encode_head(UNSAFE_CLASS, "Transfer-Encoding: chunked") + b"1;" + b"x" * 400_000, 413),
+    (encode_head(UNSAFE_CLASS, "Transfer-Encoding: chunked") + b"0\r\nX-T: " + b"x" * 400_000, 413),
 ]
 
 
-@pytest.mark.parametrize(("data", "status"), BAD)
+@pytest.mark.parametrize(("data", "status"), MALFORMED_REQUESTS)
 def test_malformed_requests_are_answered_and_closed(data: bytes, status: int) -> None:
-    # None of them may wear a refusal, end the process or go to a host.
+    # None of them may be answered 503, end the process, or reach an endpoint.
     async def test() -> None:
         host = Host("h")
         async with proxy(host) as p:
             client = await Client.connect(p.port)
             client.writer.write(data)
-            got, headers, _ = await client.answer()
-            assert (got, headers["connection"]) == (status, "close")
+            actual_status, headers, _ = await client.answer()
+            assert (actual_status, headers["connection"]) == (status, "close")
             assert await client.reader.read() == b""
             other = await Client.connect(p.port)
             assert (await other.ask())[0] == 200
@@ -222,18 +230,16 @@
         b"",
         b"\r\n",
         b"P",
-        worded(UNSAFE_CLASS, "Content-Length: 4")[:-1],
-        worded(UNSAFE_CLASS, "Content-Length: 4") + b"for",
-        worded(UNSAFE_CLASS, "Transfer-Encoding: chunked") + b"2\r\nab\r\n",
+        encode_head(UNSAFE_CLASS, "Content-Length: 4")[:-1],
+        encode_head(UNSAFE_CLASS, "Content-Length: 4") + b"for",
+        encode_head(UNSAFE_CLASS, "Transfer-Encoding: chunked") + b"2\r\nab\r\n",
     ],
 )
 @pytest.mark.parametrize("first", [False, True])
-def test_request_that_does_not_come_to_its_end_is_given_up(
-    sent: bytes, first: bool, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    # Silent connections, heads and bodies used to stand for good.
+def test_incomplete_request_times_out(sent: bytes, first: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    # Silent connections, and incomplete heads and bodies, stayed open forever.
     if not first and not sent.strip():
-        pytest.skip("between requests: that is no silence")
+        pytest.skip("an idle connection between requests does not time out here")
     monkeypatch.setattr(listener, "REQUEST_TIMEOUT_MS", 50.0)
 
     async def test() -> None:
@@ -253,11 +259,11 @@
     run(test())
 
 
-def test_sender_that_is_turned_away_and_sends_on_grows_nothing() -> None:
+def test_sender_that_ignores_its_rejection_is_disconnected() -> None:
     async def test() -> None:
         async with proxy(Host("h")) as p:
             client = await Client.connect(p.port)
-            client.writer.write(worded(UNSAFE_CLASS, "Transfer-Encoding: chunked"))
+            client.writer.write(encode_head(UNSAFE_CLASS, "Transfer-Encoding: chunked"))
             with contextlib.suppress(ConnectionError):
                 for _ in range(600):
                     client.writer.write(b"10000\r\n" + b"x" * 65536 + b"\r\n")
@@ -269,13 +275,13 @@
     run(test())
 
 
-def test_id_of_a_request_that_is_open_or_was_just_now_is_turned_away() -> None:
-    # Passed on, the second of them is a duplicate of the first.
+def test_trace_id_in_use_is_rejected() -> None:
+    # Endpoints would treat the second request as a duplicate of the first.
     release = asyncio.Event()
 
-    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        writer.write(http(200))
+        writer.write(http_response(200))
 
     async def test() -> None:
         host = Host("h", held)
@@ -294,7 +300,7 @@
     run(test())
 
 
-def test_deadline_beyond_the_class_s_own_is_bounded_by_it() -> None:
+def test_deadline_is_bounded_by_the_deadline_of_the_class() -> None:
     settings = settings_json()
     for cls in settings["categories"]:
         cls["aim_ms"] = cls["deadline_ms"] = 1000.0
@@ -310,9 +316,9 @@
     run(test())
 
 
-def test_request_that_a_host_can_not_use_is_not_repeated_nor_held_against_it() -> None:
-    async def unusable(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        writer.write(http(400))
+def test_unusable_request_is_not_retried_and_does_not_affect_the_endpoint() -> None:
+    async def unusable(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writer.write(http_response(400))
 
     async def test() -> None:
         hosts = Host("h", unusable), Host("g", unusable)
@@ -329,25 +335,25 @@
     run(test())
 
 
-def test_short_of_descriptors_the_silent_go_first() -> None:
-    # They counted as busy: good clients' connections were closed in their place.
+def test_at_the_limit_silent_connections_are_closed_first() -> None:
+    # Silent connections counted as busy, and connections of active clients were closed instead.
     async def test() -> None:
-        async with proxy(Host("h"), most=3) as p:
-            good = await Client.connect(p.port)
-            assert (await good.ask())[0] == 200
-            quiet = [await Client.connect(p.port) for _ in range(20)]
+        async with proxy(Host("h"), max_connections=3) as p:
+            active_client = await Client.connect(p.port)
+            assert (await active_client.ask())[0] == 200
+            silent_clients = [await Client.connect(p.port) for _ in range(20)]
             await until(lambda: len(p.listener.connections) <= 3)
             for _ in range(3):
-                status, headers, _ = await good.ask()
+                status, headers, _ = await active_client.ask()
                 assert (status, headers.get("connection")) == (200, None)
-            for client in [good, *quiet]:
+            for client in [active_client, *silent_clients]:
                 client.close()
 
     run(test())
 
 
-def test_while_many_rest_answers_close_their_connection() -> None:
-    # Clients may hold only so many: those that ask once and stay left the others none to ask on.
+def test_responses_close_connections_while_too_many_are_idle() -> None:
+    # A client process may hold a limited number of connections. Idle ones kept open left none for others.
     async def test() -> None:
         async with proxy(Host("h"), max_idle=3) as p:
             clients = [await Client.connect(p.port) for _ in range(6)]
@@ -362,9 +368,9 @@
     run(test())
 
 
-def test_beyond_every_limit_connections_are_closed_at_once() -> None:
+def test_connections_beyond_the_headroom_are_closed_at_once() -> None:
     async def test() -> None:
-        async with proxy(Host("h", silent), most=1) as p:
+        async with proxy(Host("h", silent), max_connections=1) as p:
             clients: list[Client] = []
             for _ in range(1 + connection_limits.CONNECTION_HEADROOM):
                 clients.append(await Client.connect(p.port))
@@ -379,7 +385,7 @@
     run(test())
 
 
-def test_malformed_bytes_behind_a_request_leave_it_its_answer() -> None:
+def test_request_before_malformed_bytes_is_answered() -> None:
     async def test() -> None:
         async with proxy(Host("h")) as p:
             client = await Client.connect(p.port)
@@ -392,9 +398,9 @@
     run(test())
 
 
-def test_requests_ahead_of_their_turn_are_answered_in_order() -> None:
-    async def echo(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        writer.write(http(200, got.body))
+def test_pipelined_requests_are_answered_in_order() -> None:
+    async def echo(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writer.write(http_response(200, received.body))
 
     async def test() -> None:
         async with proxy(Host("h", echo)) as p:
@@ -425,18 +431,19 @@
     run(test())
 
 
-def test_failing_balancer_leaves_nobody_without_an_answer(
+def test_balancer_failure_answers_all_pending_requests(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # Loud, each held request ended, and the next one served: what may have run is no refusal.
-    act = Balancer.handle
-    fail = [False]
+    # The failure is logged, pending requests are answered, and the next one is served. A request that may
+    # have run is not rejected.
+    original_handle = Balancer.handle
+    must_fail = [False]
 
     def handle(self: Balancer, now_ms: float, events: Sequence[Event]) -> list[Action]:
-        if fail[0]:
-            fail[0] = False
+        if must_fail[0]:
+            must_fail[0] = False
             raise RuntimeError("a defect")
-        return act(self, now_ms, events)
+        return original_handle(self, now_ms, events)
 
     monkeypatch.setattr(Balancer, "handle", handle)
 
@@ -446,13 +453,13 @@
             first, second = await Client.connect(p.port), await Client.connect(p.port)
             first.send()
             await until(lambda: len(host.received) == 1)
-            fail[0] = True
+            must_fail[0] = True
             second.send()
             assert (await first.answer())[0] == 500
             assert (await second.answer())[0] == 503
             assert p.engine.pending_count == 0
-            await until(lambda: len(p.registry.calls) == 2)  # the new balancer has begun, and asked
-            host.answer = served
+            await until(lambda: len(p.registry.calls) == 2)  # the new balancer has subscribed
+            host.answer = answer_ok
             assert (await second.ask())[::2] == (200, b"from h")
             first.close()
             second.close()
@@ -461,9 +468,9 @@
     assert "a defect" in caplog.text
 
 
-def test_slow_reader_gets_no_further_answers_until_it_reads() -> None:
-    async def large(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        writer.write(http(200, b"x" * 65536))
+def test_client_that_does_not_read_gets_no_further_responses() -> None:
+    async def large(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writer.write(http_response(200, b"x" * 65536))
 
     async def test() -> None:
         host = Host("h", large)
@@ -476,8 +483,8 @@
                 client.send(expires_ms=60_000, body=b"")
             (connection,) = p.listener.connections
             await until(lambda: not connection.writable)
-            asked = len(host.received)
-            assert asked < total
+            answered_count = len(host.received)
+            assert answered_count < total
             transport.resume_reading()
             for _ in range(total):
                 assert (await client.answer())[0] == 200
@@ -486,9 +493,9 @@
     run(test())
 
 
-def test_short_of_descriptors_the_longest_idle_client_connection_is_closed() -> None:
+def test_at_the_limit_the_longest_idle_client_connection_is_closed() -> None:
     async def test() -> None:
-        async with proxy(Host("h"), most=2) as p:
+        async with proxy(Host("h"), max_connections=2) as p:
             clients = [await Client.connect(p.port) for _ in range(2)]
             for client in clients:
                 assert (await client.ask())[0] == 200
@@ -502,30 +509,30 @@
     run(test())
 
 
-def test_end_serves_who_still_comes_and_finishes_what_is_taken() -> None:
-    # At a planned restart connections go on coming for a while; what is taken is answered all the same.
-    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+def test_shutdown_serves_new_connections_and_finishes_pending_requests() -> None:
+    # In a planned restart clients still connect for a while; all accepted requests are answered.
+    async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        writer.write(http(200, b"late"))
+        writer.write(http_response(200, b"late"))
 
     release = asyncio.Event()
 
     async def test() -> None:
         hosts = Host("h", held), Host("g", held)
         async with proxy(*hosts) as p:
-            taken, idle = await Client.connect(p.port), await Client.connect(p.port)
-            taken.send()
+            pending_client, idle = await Client.connect(p.port), await Client.connect(p.port)
+            pending_client.send()
             await until(lambda: sum(len(h.received) for h in hosts) == 1)
             ending = asyncio.create_task(p.listener.shut_down(0.3, 10.0))
-            coming = await Client.connect(p.port)
-            coming.send()
+            new_client = await Client.connect(p.port)
+            new_client.send()
             await until(lambda: sum(len(h.received) for h in hosts) == 2)
             assert not ending.done()
-            assert await idle.reader.read() == b""  # closed between requests, once nobody comes any more
+            assert await idle.reader.read() == b""  # closed between requests, once the accept grace is over
             with pytest.raises(OSError):
                 await Client.connect(p.port)
             release.set()
-            for client in taken, coming:
+            for client in pending_client, new_client:
                 status, headers, body = await client.answer()
                 assert (status, headers["connection"], body) == (200, "close", b"late")
             await ending
@@ -533,10 +540,10 @@
     run(test())
 
 
-def test_decisions_that_fail_whenever_they_begin_leave_the_loop_free(
+def test_balancer_that_fails_on_each_restart_does_not_block_the_loop(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # Begun anew at once, they would fail again at once, and nothing else would ever run.
+    # Restarted at once, the balancer would fail again at once, and nothing else would run.
     calls = []
 
     def handle(self: Balancer, now_ms: float, events: Sequence[Event]) -> list[Action]:
@@ -558,17 +565,17 @@
     run(test())
 
 
-def test_over_the_limit_connections_are_closed_with_their_answer() -> None:
-    # All of them busy: none can be closed in between, and further ones would be dropped unanswered.
+def test_over_the_limit_connections_are_closed_after_their_response() -> None:
+    # All connections are busy, so none can be closed now, and further ones would be dropped unanswered.
     release = asyncio.Event()
 
-    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        writer.write(http(200))
+        writer.write(http_response(200))
 
     async def test() -> None:
         hosts = [Host(name, held) for name in "abc"]
-        async with proxy(*hosts, most=2) as p:
+        async with proxy(*hosts, max_connections=2) as p:
             clients: list[Client] = []
             for number in range(1, 4):
                 clients.append(await Client.connect(p.port))
@@ -584,10 +591,10 @@
     run(test())
 
 
-def test_request_that_is_in_the_system_s_hands_at_the_end_is_answered(
+def test_request_unread_in_the_kernel_at_shutdown_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Written before the end, not yet read: closing the connection under it would lose it.
+    # The request is in the kernel, not yet read: closing the connection would lose it.
     sleep = asyncio.sleep
     coming_s = 7.0
 
@@ -597,7 +604,7 @@
             assert (await client.ask())[0] == 200
 
             async def write_meanwhile(delay: float) -> None:
-                """The request comes while the loop is at something else."""
+                """Write the request in place of the sleep, so that the loop has not read it."""
                 if delay == coming_s:
                     os.write(client.writer.get_extra_info("socket").fileno(), client.encode_request())
                 else:
--- a/tests/proxy/test_json_lines.py
+++ b/tests/proxy/test_json_lines.py
@@ -1,4 +1,4 @@
-"""A stream taken apart: objects on one line or several, however the bytes are cut."""
+"""Parsing of a JSON stream: objects on one or several lines, with chunks cut anywhere."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     cuts=st.lists(st.integers(1, 40), min_size=1, max_size=20),
     ends=st.sampled_from([b"\n", b"\r\n"]),
 )
-def test_what_was_said_is_what_comes(
+def test_parsed_messages_equal_the_sent_ones(
     messages: list[tuple[dict[str, Any], int | None] | None], cuts: list[int], ends: bytes
 ) -> None:
     stream = b""
@@ -32,13 +32,13 @@
         text = "" if message is None else json.dumps(message[0], indent=message[1], ensure_ascii=False)
         stream += text.encode().replace(b"\n", ends) + ends
     lines = JsonLines(1_000_000)
-    came: list[Any] = []
+    parsed: list[Any] = []
     at = number = 0
     while at < len(stream):
         size = cuts[number % len(cuts)]
-        came += lines.feed(stream[at : at + size])
+        parsed += lines.feed(stream[at : at + size])
         at, number = at + size, number + 1
-    assert came == [None if message is None else message[0] for message in messages]
+    assert parsed == [None if message is None else message[0] for message in messages]
 
 
 @pytest.mark.parametrize(
@@ -53,13 +53,13 @@
         b'{"a": ' + b"[" * 100_000 + b"]" * 100_000 + b"}\n",
     ],
 )
-def test_what_is_no_object_is_an_error(text: bytes) -> None:
+def test_malformed_object_is_an_error(text: bytes) -> None:
     with pytest.raises(ValueError):
         list(JsonLines(1_000_000).feed(text))
 
 
 @pytest.mark.parametrize("piece", [b"x" * 100, b"{\n" * 50, b'{\n"a": 1,\n' + b"\n" * 90])
-def test_what_does_not_end_is_bounded(piece: bytes) -> None:
+def test_object_without_an_end_is_bounded(piece: bytes) -> None:
     lines = JsonLines(1000)
     with pytest.raises(ValueError, match="too long"):
         for _ in range(100):
--- a/tests/proxy/test_lingering.py
+++ b/tests/proxy/test_lingering.py
@@ -1,4 +1,4 @@
-"""How a connection to a client ends: no reset under an answer, nothing taken after it, all of it bounded."""
+"""Closing of client connections: no reset before a response is read, no request after it, within limits."""
 
 from __future__ import annotations
 
@@ -20,86 +20,86 @@
     Host,
     Proxy,
     ReceivedRequest,
-    http,
+    http_response,
     proxy,
     run,
     until,
 )
-from tests.proxy.test_before_the_write import patient
+from tests.proxy.test_before_the_write import settings_without_timeouts
 
-WORDED = Client(None, None).encode_request  # type: ignore[arg-type]
+ENCODE_REQUEST = Client(None, None).encode_request  # type: ignore[arg-type]
 
 
-def connected(p: Proxy) -> socket.socket:
+def connect_client(p: Proxy) -> socket.socket:
     return socket.create_connection(("127.0.0.1", p.port))
 
 
-def at_once(client: Client, data: bytes) -> None:
-    """Into the system's hands, before the loop turns."""
+def write_to_socket(client: Client, data: bytes) -> None:
+    """Write directly to the socket, before the next loop iteration."""
     os.write(client.writer.get_extra_info("socket").fileno(), data)
 
 
-async def only(p: Proxy) -> ClientConnection:
+async def only_connection(p: Proxy) -> ClientConnection:
     await until(lambda: len(p.listener.connections) == 1)
     (connection,) = p.listener.connections
     return connection
 
 
-async def received(client: socket.socket) -> bytes:
-    """All that comes up to the end of the stream. Raises ConnectionResetError where it is reset."""
+async def read_to_end(client: socket.socket) -> bytes:
+    """Read all bytes up to the end of the stream. Raises ConnectionResetError if it is reset."""
     client.setblocking(False)
-    loop, come = asyncio.get_running_loop(), b""
+    loop, response = asyncio.get_running_loop(), b""
     while piece := await loop.sock_recv(client, 65536):
-        come += piece
-    return come
+        response += piece
+    return response
 
 
-def as_it_shuts(happen: Callable[[], None], monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let it happen in the very moment before a connection is shut: too late to be looked at."""
-    shut = ClientConnection._half_close
+def run_before_half_close(action: Callable[[], None], monkeypatch: pytest.MonkeyPatch) -> None:
+    """Run an action right before a connection is half-closed, too late for the checks before that."""
+    original_half_close = ClientConnection._half_close
 
-    def shutting(self: ClientConnection) -> None:
-        happen()
-        shut(self)
+    def act_and_half_close(self: ClientConnection) -> None:
+        action()
+        original_half_close(self)
 
-    monkeypatch.setattr(ClientConnection, "_half_close", shutting)
+    monkeypatch.setattr(ClientConnection, "_half_close", act_and_half_close)
 
 
 @pytest.mark.parametrize("cls", [KEYED_CLASS, UNSAFE_CLASS])
-def test_bytes_that_arrive_as_it_is_closed_do_not_destroy_the_last_answer(
+def test_bytes_that_arrive_during_the_close_do_not_reset_the_last_response(
     cls: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
         host = Host("h")
-        async with proxy(host, settings=patient()) as p:
-            client = connected(p)
-            # The answer fills the client's small window: most of it is not taken when the next bytes come.
-            as_it_shuts(lambda: client.sendall(WORDED(cls, body=b"late")), monkeypatch)
-            client.sendall(WORDED(cls, expires_ms=600_000, Connection="close"))
-            come = await received(client)
-            assert come.startswith(b"HTTP/1.1 200")
-            assert come.endswith(b"from h")
+        async with proxy(host, settings=settings_without_timeouts()) as p:
+            client = connect_client(p)
+            # The client has not read the response yet when its next bytes arrive.
+            run_before_half_close(lambda: client.sendall(ENCODE_REQUEST(cls, body=b"late")), monkeypatch)
+            client.sendall(ENCODE_REQUEST(cls, expires_ms=600_000, Connection="close"))
+            response = await read_to_end(client)
+            assert response.startswith(b"HTTP/1.1 200")
+            assert response.endswith(b"from h")
             client.close()
             await until(lambda: not p.listener.connections)
-            assert len(host.received) == 1  # what came after the shutdown went nowhere
+            assert len(host.received) == 1  # bytes after the half-close reach no endpoint
 
     run(test())
 
 
-def test_a_resting_connection_is_shut_not_reset_and_what_crosses_that_is_dropped(
+def test_idle_connection_is_closed_without_a_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
         host = Host("h")
         async with proxy(host) as p:
-            client = connected(p)
-            client.sendall(WORDED())
-            connection = await only(p)
+            client = connect_client(p)
+            client.sendall(ENCODE_REQUEST())
+            connection = await only_connection(p)
             await until(lambda: len(host.received) == 1 and connection.idle)
-            as_it_shuts(lambda: client.sendall(WORDED()), monkeypatch)
+            run_before_half_close(lambda: client.sendall(ENCODE_REQUEST()), monkeypatch)
             connection.close_idle()
-            come = await received(client)  # no reset: the client knows that its second request was not read
-            assert come.count(b"HTTP/1.1 200") == 1
+            response = await read_to_end(client)  # no reset: the client sees an unread request
+            assert response.count(b"HTTP/1.1 200") == 1
             client.close()
             await until(lambda: not p.listener.connections)
             assert len(host.received) == 1
@@ -107,26 +107,26 @@
     run(test())
 
 
-def test_a_request_on_hand_keeps_a_resting_connection_open() -> None:
+def test_unread_request_keeps_an_idle_connection_open() -> None:
     async def test() -> None:
         host = Host("h")
         async with proxy(host) as p:
             client = await Client.connect(p.port)
             assert (await client.ask())[0] == 200
-            connection = await only(p)
-            at_once(client, client.encode_request())
-            connection.close_idle()  # in the same turn of the loop
+            connection = await only_connection(p)
+            write_to_socket(client, client.encode_request())
+            connection.close_idle()  # in the same loop iteration
             assert (await client.answer())[0] == 200
             client.close()
 
     run(test())
 
 
-def test_a_request_on_hand_is_answered_before_the_connection_ends() -> None:
-    # Over the limit each answer ends its connection, but not over a request that has come whole.
-    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+def test_unread_request_is_answered_before_the_connection_closes() -> None:
+    # Over the limit each response closes its connection, unless a complete request has already arrived.
+    async def held(host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        writer.write(http(200, got.body))
+        writer.write(http_response(200, received_request.body))
 
     release = asyncio.Event()
 
@@ -136,18 +136,20 @@
             client.send(body=b"one")
             await until(lambda: p.engine.pending_count == 1)
             release.set()
-            answer = ClientConnection._answer
+            original_answer = ClientConnection._answer
 
-            def answered(self: ClientConnection, status: int, headers: Headers, body: bytes) -> None:
+            def send_next_and_answer(
+                self: ClientConnection, status: int, headers: Headers, body: bytes
+            ) -> None:
                 if body == b"one":
-                    at_once(client, client.encode_request(body=b"two"))
-                answer(self, status, headers, body)
+                    write_to_socket(client, client.encode_request(body=b"two"))
+                original_answer(self, status, headers, body)
 
-            ClientConnection._answer = answered  # type: ignore[method-assign]
+            ClientConnection._answer = send_next_and_answer  # type: ignore[method-assign]
             try:
                 answers = [await client.answer() for _ in range(2)]
             finally:
-                ClientConnection._answer = answer  # type: ignore[method-assign]
+                ClientConnection._answer = original_answer  # type: ignore[method-assign]
             assert [body for _, _, body in answers] == [b"one", b"two"]
             assert [headers.get("connection") for _, headers, _ in answers] == [None, "close"]
             client.close()
@@ -155,48 +157,48 @@
     run(test())
 
 
-def test_who_never_ends_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_half_closed_connection_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(listener, "REQUEST_TIMEOUT_MS", 50.0)
 
     async def test() -> None:
         async with proxy(Host("h")) as p:
-            client = connected(p)
-            client.sendall(WORDED(Connection="close"))
-            assert (await received(client)).startswith(b"HTTP/1.1 200")
-            await until(lambda: not p.listener.connections)  # by time
+            client = connect_client(p)
+            client.sendall(ENCODE_REQUEST(Connection="close"))
+            assert (await read_to_end(client)).startswith(b"HTTP/1.1 200")
+            await until(lambda: not p.listener.connections)  # closed by the timeout
             client.close()
 
     run(test())
 
 
-def test_who_floods_behind_the_end_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_half_closed_connection_is_closed_after_too_many_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(listener, "REQUEST_TIMEOUT_MS", 600_000.0)
 
     async def test() -> None:
         async with proxy(Host("h")) as p:
-            client = connected(p)
-            client.sendall(WORDED(Connection="close"))
-            connection = await only(p)
+            client = connect_client(p)
+            client.sendall(ENCODE_REQUEST(Connection="close"))
+            connection = await only_connection(p)
             await until(lambda: connection._phase is Phase.HALF_CLOSED)
             client.setblocking(False)
             with pytest.raises(ConnectionError):
                 for _ in range(10_000):
                     await asyncio.get_running_loop().sock_sendall(client, b"x" * 65536)
-            await until(lambda: not p.listener.connections)  # by bytes
+            await until(lambda: not p.listener.connections)  # closed by the byte limit
             client.close()
 
     run(test())
 
 
-def test_connections_that_are_shut_give_their_descriptors_to_new_ones() -> None:
-    # They were not counted: ended ones whose clients kept theirs filled the table.
+def test_half_closed_connections_count_towards_the_limit() -> None:
+    # Half-closed connections were not counted; kept open by their clients, they used up the descriptors.
     async def test() -> None:
-        async with proxy(Host("h"), most=2) as p:
+        async with proxy(Host("h"), max_connections=2) as p:
             kept = []
             for _ in range(2 + connection_limits.CONNECTION_HEADROOM + 20):
-                client = connected(p)
-                client.sendall(WORDED(Connection="close"))
-                assert (await received(client)).startswith(b"HTTP/1.1 200")
+                client = connect_client(p)
+                client.sendall(ENCODE_REQUEST(Connection="close"))
+                assert (await read_to_end(client)).startswith(b"HTTP/1.1 200")
                 kept.append(client)
                 assert len(p.listener.connections) <= 2 + connection_limits.CONNECTION_HEADROOM + 1
             for client in kept:
@@ -205,40 +207,40 @@
     run(test())
 
 
-def test_the_end_waits_for_what_is_owed_and_not_for_who_rests(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_shutdown_does_not_wait_for_idle_clients(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(listener, "CLOSE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with proxy(Host("h")) as p:
-            client = connected(p)
-            client.sendall(WORDED())
-            connection = await only(p)
+            client = connect_client(p)
+            client.sendall(ENCODE_REQUEST())
+            connection = await only_connection(p)
             await until(lambda: connection.idle and connection._has_sent_request)
-            await p.listener.shut_down(0.0, 600.0)  # the client never ends its side
+            await p.listener.shut_down(0.0, 600.0)  # the client never closes its side
             assert connection._phase is Phase.HALF_CLOSED
             client.close()
 
     run(test())
 
 
-def test_what_is_not_finished_at_the_end_is_answered_as_it_stands() -> None:
-    # The process ended over a request that came late, and over half a one: both clients heard nothing.
-    async def silent(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+def test_unfinished_requests_are_answered_at_the_end_of_the_shutdown() -> None:
+    # The process ended with a pending and an incomplete request; neither client got a response.
+    async def silent(host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         pass
 
     async def test() -> None:
         host = Host("h", silent)
-        async with proxy(host, settings=patient()) as p:
-            taken, half = await Client.connect(p.port), await Client.connect(p.port)
-            taken.send(expires_ms=600_000)
-            half.writer.write(half.encode_request()[:40])
+        async with proxy(host, settings=settings_without_timeouts()) as p:
+            pending_client, incomplete_client = await Client.connect(p.port), await Client.connect(p.port)
+            pending_client.send(expires_ms=600_000)
+            incomplete_client.writer.write(incomplete_client.encode_request()[:40])
             await until(
                 lambda: len(host.received) == 1 and any(c._parser.in_message for c in p.listener.connections)
             )
             ending = asyncio.create_task(p.listener.shut_down(0.0, 0.0))
-            assert (await taken.answer())[0] == 502  # it may have run
-            assert (await half.answer())[0] == 408
-            for client in (taken, half):
+            assert (await pending_client.answer())[0] == 502  # it may have run
+            assert (await incomplete_client.answer())[0] == 408
+            for client in (pending_client, incomplete_client):
                 assert await client.reader.read() == b""
                 client.close()
             await ending
@@ -247,20 +249,20 @@
     run(test())
 
 
-def test_what_waits_behind_an_unfinished_request_at_the_end_is_answered_too() -> None:
-    # What callers saw: requests sent ahead on a connection got no answer from a proxy that restarted, though
-    # a server had them.
-    # Why: an answer ends its connection only when nothing waits behind it. At the end of the shutdown the
-    # request under way was answered, the next one began on a server, and the kill came before its time. From
-    # the soak's seed 43 beside five busy processes, seconds after SIGTERM, longest deadline 1.07 s:
-    #     1.490 requests 6 and 7 are sent ahead; 1.620 request 4 is answered 502, 5 is answered 503
-    #     1.625 request 6 is sent to a server; 1.772 the kill; 6, 7 and 8 have no answer
-    async def silent(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+def test_pipelined_requests_are_answered_at_the_end_of_the_shutdown() -> None:
+    # Failure: pipelined requests got no response from a restarting proxy, although a server had received one.
+    # Cause: a response closes its connection only if no request is pipelined behind it. At the end of the
+    # shutdown the current request was answered, the next one was sent to a server, and SIGKILL came before
+    # its deadline. Trace of the soak with seed 43 beside five busy processes, in seconds after SIGTERM, with
+    # a longest deadline of 1.07 s:
+    #     1.490 requests 6 and 7 are pipelined; 1.620 request 4 is answered 502, request 5 is answered 503
+    #     1.625 request 6 is sent to a server; 1.772 SIGKILL; requests 6, 7 and 8 have no response
+    async def silent(host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         pass
 
     async def test() -> None:
         host = Host("h", silent)
-        async with proxy(host, settings=patient()) as p:
+        async with proxy(host, settings=settings_without_timeouts()) as p:
             client = await Client.connect(p.port)
             for _ in range(MAX_PIPELINED_REQUESTS + 8):
                 client.send(expires_ms=600_000)
@@ -278,22 +280,22 @@
     run(test())
 
 
-def test_who_takes_no_answers_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    # With requests ahead of their turn it counted as busy, for good, and kept its descriptor.
+def test_client_that_reads_no_responses_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
+    # With pipelined requests the connection counted as busy forever, and kept its descriptor.
     monkeypatch.setattr(listener, "REQUEST_TIMEOUT_MS", 50.0)
 
-    async def large(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        writer.write(http(200, b"x" * 64 * 1024))
+    async def large(host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writer.write(http_response(200, b"x" * 64 * 1024))
 
     async def test() -> None:
-        async with proxy(Host("h", large), settings=patient()) as p:
+        async with proxy(Host("h", large), settings=settings_without_timeouts()) as p:
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect(("127.0.0.1", p.port))
             client.setblocking(False)
-            many = b"".join(WORDED(expires_ms=600_000) for _ in range(200))
+            many = b"".join(ENCODE_REQUEST(expires_ms=600_000) for _ in range(200))
             await asyncio.get_running_loop().sock_sendall(client, many)
-            connection = await only(p)
+            connection = await only_connection(p)
             await until(lambda: not connection.writable)
             await until(lambda: not p.listener.connections)
             client.close()
@@ -301,18 +303,18 @@
     run(test())
 
 
-def test_what_clients_send_ahead_is_bounded_over_all(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Each may send a whole buffer ahead of its turn; some hundreds together took all of the memory.
+def test_pipelined_bytes_of_all_clients_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Each client may pipeline a full buffer; some hundreds of clients exhausted the memory.
     monkeypatch.setattr(connection_limits, "MAX_PIPELINED_BYTES", 200_000)
 
-    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        writer.write(http(200))
+        writer.write(http_response(200))
 
     release = asyncio.Event()
 
     async def test() -> None:
-        async with proxy(Host("h", held), settings=patient()) as p:
+        async with proxy(Host("h", held), settings=settings_without_timeouts()) as p:
             clients = [await Client.connect(p.port) for _ in range(8)]
             for client in clients:
                 for _ in range(31):
@@ -324,7 +326,7 @@
             assert p.listener.limits.pipelined_bytes <= 200_000 + 8 * 260_000
             assert any(connection._phase is Phase.FINISHING for connection in p.listener.connections)
             release.set()
-            assert (await good.answer())[0] == 200  # who sends one at a time notices nothing
+            assert (await good.answer())[0] == 200  # a client without pipelining is not affected
             for client in [*clients, good]:
                 client.close()
             await until(lambda: not p.listener.connections)
--- a/tests/proxy/test_long_list_processes.py
+++ b/tests/proxy/test_long_list_processes.py
@@ -1,5 +1,6 @@
-"""Three real processes with a list five times as long as the connections that each may hold; a third of the
-servers fails and comes back meanwhile."""
+"""Three processes with an endpoint list five times as long as the connection limit of each.
+
+A third of the servers fails and comes back meanwhile."""
 
 from __future__ import annotations
 
@@ -15,8 +16,8 @@
 
 DAEMONS, SERVERS, SOCKETS = 3, 120, 136
 FAILING = 40
-CLIENTS, CALLS = 4, 75  # of each daemon; calls of each client in a phase
-ESTABLISHED = "01"  # state of /proc/net/tcp
+CLIENTS, CALLS = 4, 75  # clients of each daemon; calls of each client in a phase
+ESTABLISHED = "01"  # connection state in /proc/net/tcp
 
 SERVE = f"""
 listen = "127.0.0.1:0"
@@ -35,16 +36,16 @@
 """
 
 
-async def started(folder: Path) -> tuple[Process, int]:
-    """A daemon, and its port."""
-    words = ["-m", "client_proxy.cli", "serve", "--config", str(folder / "serve.toml")]
-    process = await asyncio.create_subprocess_exec(sys.executable, *words, stdout=DEVNULL, stderr=DEVNULL)
+async def start_daemon(folder: Path) -> tuple[Process, int]:
+    """Start a daemon; returns the process and its port."""
+    arguments = ["-m", "client_proxy.cli", "serve", "--config", str(folder / "serve.toml")]
+    process = await asyncio.create_subprocess_exec(sys.executable, *arguments, stdout=DEVNULL, stderr=DEVNULL)
     await until(lambda: bool(sockets(process.pid, LISTEN)) or process.returncode is not None)
     return process, sockets(process.pid, LISTEN)[0][1]
 
 
 async def calls(port: int, number: int) -> Counter[int]:
-    """One client: call after call, each answered before the next."""
+    """Run one client with sequential calls; returns the number of responses by status."""
     statuses: Counter[int] = Counter()
     client = await Client.connect(port)
     for count in range(CALLS):
@@ -55,12 +56,12 @@
 
 
 async def phase(ports: list[int]) -> Counter[int]:
-    """The answers of all clients of all daemons."""
-    told = await asyncio.gather(*(calls(port, n) for port in ports for n in range(CLIENTS)))
-    return sum(told, Counter[int]())
+    """Run all clients of all daemons; returns the number of responses by status."""
+    results = await asyncio.gather(*(calls(port, n) for port in ports for n in range(CLIENTS)))
+    return sum(results, Counter[int]())
 
 
-def test_servers_that_fail_and_come_back_in_a_list_longer_than_the_connections(tmp_path: Path) -> None:
+def test_failing_servers_in_a_list_longer_than_the_connection_limit(tmp_path: Path) -> None:
     async def test() -> None:
         hosts = [await Host(f"s{n:03d}").start() for n in range(SERVERS)]
         server_ports = {host.port for host in hosts}
@@ -68,33 +69,33 @@
         (tmp_path / "servers.toml").write_text("\n".join(entries))
         (tmp_path / "serve.toml").write_text(SERVE)
         daemons: list[tuple[Process, int]] = []
-        whole = DAEMONS * CLIENTS * CALLS
+        total_calls = DAEMONS * CLIENTS * CALLS
         try:
-            daemons += [await started(tmp_path) for _ in range(DAEMONS)]
+            daemons += [await start_daemon(tmp_path) for _ in range(DAEMONS)]
             ports = [port for _, port in daemons]
 
-            def held() -> int:
-                """The most connections to servers that a daemon has now."""
+            def max_server_connections() -> int:
+                """Return the largest number of connections to servers that a daemon has now."""
                 return max(
                     sum(remote in server_ports for _, _, _, remote in sockets(process.pid, ESTABLISHED))
                     for process, _ in daemons
                 )
 
-            # At the bound each dial used to fail, and a quarter of the calls was refused.
-            assert await phase(ports) == {200: whole}
-            assert held() <= connection_quota(SOCKETS).upstream_connections
+            # At the connection limit each dial failed, and a quarter of the calls was rejected.
+            assert await phase(ports) == {200: total_calls}
+            assert max_server_connections() <= connection_quota(SOCKETS).upstream_connections
             dials = sum(host.connections for host in hosts)
-            assert await phase(ports) == {200: whole}
-            assert sum(host.connections for host in hosts) - dials < 0.1 * whole
+            assert await phase(ports) == {200: total_calls}
+            assert sum(host.connections for host in hosts) - dials < 0.1 * total_calls
             for host in hosts[:FAILING]:
                 host.stop()
             answers = await phase(ports)
-            assert sum(answers.values()) == whole
-            assert answers[200] > 0.9 * whole
+            assert sum(answers.values()) == total_calls
+            assert answers[200] > 0.9 * total_calls
             for host in hosts[:FAILING]:
                 await host.start()
-            assert await phase(ports) == {200: whole}
-            assert held() <= connection_quota(SOCKETS).upstream_connections
+            assert await phase(ports) == {200: total_calls}
+            assert max_server_connections() <= connection_quota(SOCKETS).upstream_connections
             for process, _ in daemons:
                 process.terminate()
             assert [await process.wait() for process, _ in daemons] == [0] * DAEMONS
--- a/tests/proxy/test_not_sent.py
+++ b/tests/proxy/test_not_sent.py
@@ -1,4 +1,4 @@
-"""Attempts that were not sent: the daemon and the balancer must go on numbering alike."""
+"""Attempts that were not sent: daemon and balancer must keep numbering attempts alike."""
 
 from __future__ import annotations
 
@@ -7,26 +7,28 @@
 from tests.proxy.sockets import KEYED_CLASS, Client, Host, proxy, run
 
 
-def test_a_request_whose_server_vanished_twice_before_it_was_sent_is_served_by_the_third() -> None:
+def test_request_with_two_unsent_attempts_is_served_by_the_third() -> None:
     async def test() -> None:
-        async with proxy(Host("a"), Host("b"), Host("c")) as made:
-            start = made.upstream.start_attempt
-            turned_away: list[str] = []
-
-            def vanished(request: Any, endpoint: str, timeout_ms: float, ended: Any, stands: Any) -> Any:
-                if len(turned_away) < 2:
-                    turned_away.append(endpoint)
+        async with proxy(Host("a"), Host("b"), Host("c")) as p:
+            original_start_attempt = p.upstream.start_attempt
+            not_sent: list[str] = []
+
+            def start_unless_removed(
+                request: Any, endpoint: str, timeout_ms: float, ended: Any, still_allowed: Any
+            ) -> Any:
+                if len(not_sent) < 2:
+                    not_sent.append(endpoint)
                     return None
-                return start(request, endpoint, timeout_ms, ended, stands)
+                return original_start_attempt(request, endpoint, timeout_ms, ended, still_allowed)
 
-            made.upstream.start_attempt = vanished  # type: ignore[method-assign, assignment]
-            client = await Client.connect(made.port)
+            p.upstream.start_attempt = start_unless_removed  # type: ignore[method-assign, assignment]
+            client = await Client.connect(p.port)
             status, _, body = await client.ask(KEYED_CLASS, key="k")
             assert status == 200
             assert body.startswith(b"from ")
-            assert len(turned_away) == 2
-            assert not made.engine.balancer.requests
-            assert not made.engine.pending_count
+            assert len(not_sent) == 2
+            assert not p.engine.balancer.requests
+            assert not p.engine.pending_count
             client.close()
 
     run(test())
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: its configuration, and its life from start to SIGTERM."""
+"""The program as the platform starts it: configuration, signals, and planned restart."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     ReceivedRequest,
     Registry,
     entry,
-    http,
+    http_response,
     proxy,
     run,
     settings_json,
@@ -33,8 +33,8 @@
 )
 
 
-def written(path: Path, **changes: Any) -> dict[str, str]:
-    """An environment with a configuration in it; a change to None leaves the field out."""
+def write_config(path: Path, **changes: Any) -> dict[str, str]:
+    """Write a configuration file; returns the environment that names it. None leaves a field out."""
     config: Json = {
         "name": "n3",
         "listen": "127.0.0.1:0",
@@ -51,7 +51,7 @@
 
 def test_configuration_is_read(tmp_path: Path) -> None:
     known = {"index": 4, "snapshot": True, "endpoints": []}
-    config = load_config(written(tmp_path, known=known) | {"LB_LISTEN": "127.0.0.5:80"})
+    config = load_config(write_config(tmp_path, known=known) | {"LB_LISTEN": "127.0.0.5:80"})
     assert isinstance(config, Config)
     assert (config.name, config.listen, config.discovery) == ("n3", ("127.0.0.5", 80), ("127.0.0.1", 9))
     assert (config.seed, config.sockets, config.known) == (0x8C1F30D27A5BE964, 1024, known)
@@ -81,24 +81,26 @@
 )
 def test_unusable_configuration(tmp_path: Path, changes: Json) -> None:
     if changes == {"limits": []}:
-        assert load_config(written(tmp_path, **changes)).sockets == 1024  # an empty value: the default stands
+        # An empty value means the default.
+        assert load_config(write_config(tmp_path, **changes)).sockets == 1024
         return
     with pytest.raises(ConfigError) as caught:
-        load_config(written(tmp_path, **changes))
+        load_config(write_config(tmp_path, **changes))
     assert "\n" not in str(caught.value)
 
 
-def places(value: Any, at: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
-    """Of all values inside."""
+def paths(value: Any, prefix: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
+    """Yield the paths of all nested values."""
     inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for key, each in inner:
-        yield (*at, key)
-        yield from places(each, (*at, key))
+        yield (*prefix, key)
+        yield from paths(each, (*prefix, key))
 
 
 @pytest.mark.parametrize("bad", ["x", [], {}, -1, 0, 1e400, float("nan"), 1e18, True], ids=repr)
-def test_whatever_stands_somewhere_is_borne_or_told_with_its_key(bad: Any) -> None:
-    # "'<' not supported between instances of 'str' and 'int'" told nobody which of eighty figures was wrong.
+def test_bad_value_is_accepted_or_reported_with_its_key(bad: Any) -> None:
+    # The error "'<' not supported between instances of 'str' and 'int'" did not name which of eighty settings
+    # was wrong.
     config: Json = {
         "name": "n3",
         "listen": "127.0.0.1:0",
@@ -118,26 +120,26 @@
         "peer_listen": "127.0.0.1:3",
         "peers": ["127.0.0.1:3"],
     }
-    refused = 0
-    for place in places(config):
+    rejected = 0
+    for path_in_config in paths(config):
         changed = copy.deepcopy(config)
-        holder: Any = changed
-        for key in place[:-1]:
-            holder = holder[key]
-        holder[place[-1]] = bad
+        container: Any = changed
+        for key in path_in_config[:-1]:
+            container = container[key]
+        container[path_in_config[-1]] = bad
         try:
             read_config(changed, {}, "FILE")
         except ConfigError as error:
-            refused += 1
-            key = next(key for key in reversed(place) if isinstance(key, str))
+            rejected += 1
+            key = next(key for key in reversed(path_in_config) if isinstance(key, str))
             assert str(error).startswith("FILE: ")
             assert key in str(error)
             assert "\n" not in str(error)
-    assert refused
+    assert rejected
 
 
-def test_another_customer_s_figures_are_borne() -> None:
-    # Very large, zero, and keys that we have never heard of: it starts, and serves.
+def test_unusual_settings_are_accepted() -> None:
+    # Very large values, zeros and unknown keys: the proxy starts, and serves.
     async def test() -> None:
         host = Host("h")
         settings = settings_json(max_attempts=10**9, conn_idle_ms=0.0, unheard_of={"a": [1]}, max_open=0)
@@ -161,11 +163,11 @@
 
 
 def test_a_failing_test_leaves_no_process_behind(tmp_path: Path) -> None:
-    # A failed assertion left its proxy running: the next runs on that machine were slower, and some failed.
+    # A failed assertion left its proxy process running, which slowed later runs and made some fail.
     started: list[asyncio.subprocess.Process] = []
 
     async def failing() -> None:
-        started.append(await start(written(tmp_path, listen=f"127.0.0.1:{free_port()}")))
+        started.append(await start(write_config(tmp_path, listen=f"127.0.0.1:{free_port()}")))
         raise AssertionError("as a test fails")
 
     with pytest.raises(AssertionError, match="as a test fails"):
@@ -174,7 +176,7 @@
 
 
 @pytest.mark.parametrize("content", [None, "{", "[]", "{}"])
-def test_bad_input_ends_it_with_one_plain_line(tmp_path: Path, content: str | None) -> None:
+def test_bad_configuration_ends_the_start_with_one_line(tmp_path: Path, content: str | None) -> None:
     async def test() -> None:
         file = tmp_path / "config.json"
         if content is not None:
@@ -197,8 +199,8 @@
         return port
 
 
-async def connected(port: int) -> Client:
-    """As the application does: again until somebody listens."""
+async def connect_with_retry(port: int) -> Client:
+    """Connect as the application does, with retries until the proxy listens."""
     while True:
         try:
             return await Client.connect(port)
@@ -206,22 +208,24 @@
             await asyncio.sleep(0.01)
 
 
-def test_planned_restart_loses_nothing(tmp_path: Path) -> None:
-    # Ready on the restored list alone; after SIGTERM what is taken is answered, then it ends by itself.
+def test_planned_restart_loses_no_request(tmp_path: Path) -> None:
+    # The proxy is ready on the restored list alone; after SIGTERM it answers accepted requests and exits.
     release = asyncio.Event()
 
-    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        writer.write(http(200, b"done"))
+        writer.write(http_response(200, b"done"))
 
     async def test() -> None:
         host, registry = await Host("h", held).start(), await Registry().start()
         port = free_port()
         known = {"index": 1, "snapshot": True, "endpoints": [entry(host)]}
         process = await start(
-            written(tmp_path, listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{registry.port}", known=known)
+            write_config(
+                tmp_path, listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{registry.port}", known=known
+            )
         )
-        probe = await connected(port)
+        probe = await connect_with_retry(port)
         probe.writer.write(b"GET /ready HTTP/1.1\r\n\r\n")
         assert (await probe.answer())[0] == 200
         await until(lambda: bool(registry.calls))
@@ -230,7 +234,7 @@
         client.send()
         await until(lambda: len(host.received) == 1)
         process.send_signal(signal.SIGTERM)
-        assert await probe.reader.read() == b""  # closed: it stopped taking connections
+        assert await probe.reader.read() == b""  # the proxy has stopped accepting connections
         release.set()
         status, headers, body = await client.answer()
         assert (status, headers["connection"], body) == (200, "close", b"done")
@@ -241,39 +245,45 @@
     run(test())
 
 
-def test_signals_in_any_order_lose_nothing(tmp_path: Path) -> None:
-    # Half a request is in the parser, another is at a host, discovery is moved, and SIGTERM comes twice.
+def test_signals_in_any_order_lose_no_request(tmp_path: Path) -> None:
+    # One request is incomplete, another is at a server, discovery is moved, and SIGTERM comes twice.
     release = asyncio.Event()
 
-    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        writer.write(http(200, b"done"))
+        writer.write(http_response(200, b"done"))
 
     async def test() -> None:
         hosts = [await Host(name, held).start() for name in "hg"]
         registry, other = await Registry().start(), await Registry().start()
         port = free_port()
-        stated = {
+        config_changes = {
             "listen": f"127.0.0.1:{port}",
             "known": {"index": 1, "snapshot": True, "endpoints": [entry(host) for host in hosts]},
         }
-        process = await start(written(tmp_path, discovery=f"127.0.0.1:{registry.port}", **stated))
-        resting, taken, half = await connected(port), await connected(port), await connected(port)
-        resting.writer.write(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert (await resting.answer())[0] == 200
-        taken.send()
+        process = await start(
+            write_config(tmp_path, discovery=f"127.0.0.1:{registry.port}", **config_changes)
+        )
+        idle_client, pending_client, incomplete_client = (
+            await connect_with_retry(port),
+            await connect_with_retry(port),
+            await connect_with_retry(port),
+        )
+        idle_client.writer.write(b"GET /ready HTTP/1.1\r\n\r\n")
+        assert (await idle_client.answer())[0] == 200
+        pending_client.send()
         await until(lambda: sum(len(host.received) for host in hosts) == 1)
         await until(lambda: len(registry.calls) == 1)
-        whole = half.encode_request()
-        half.writer.write(whole[:40])
-        written(tmp_path, discovery=f"127.0.0.1:{other.port}", **stated)
+        encoded = incomplete_client.encode_request()
+        incomplete_client.writer.write(encoded[:40])
+        write_config(tmp_path, discovery=f"127.0.0.1:{other.port}", **config_changes)
         for each in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             process.send_signal(each)
-        assert await resting.reader.read() == b""  # it has stopped taking connections
-        half.writer.write(whole[40:])
+        assert await idle_client.reader.read() == b""  # the proxy has stopped accepting connections
+        incomplete_client.writer.write(encoded[40:])
         await until(lambda: sum(len(host.received) for host in hosts) == 2)
         release.set()
-        for client in (taken, half):
+        for client in (pending_client, incomplete_client):
             status, headers, body = await client.answer()
             assert (status, headers["connection"], body) == (200, "close", b"done")
             assert await client.reader.read() == b""
@@ -288,10 +298,10 @@
     run(test())
 
 
-def test_taken_port_is_said_on_one_line(tmp_path: Path) -> None:
+def test_port_in_use_is_reported_on_one_line(tmp_path: Path) -> None:
     async def test() -> None:
         host = await Host("h").start()
-        process = await start(written(tmp_path, listen=f"127.0.0.1:{host.port}"))
+        process = await start(write_config(tmp_path, listen=f"127.0.0.1:{host.port}"))
         _, err = await process.communicate()
         assert process.returncode == 1
         assert err.startswith(b"client_proxy.proxy: ")
@@ -301,8 +311,8 @@
     run(test())
 
 
-def test_sighup_moves_to_the_discovery_that_the_file_names_now(tmp_path: Path) -> None:
-    # It used to end the process. The environment can't change under it, so the file wins from then on.
+def test_sighup_reloads_the_discovery_address(tmp_path: Path) -> None:
+    # SIGHUP ended the process. The environment can't change while the process runs, so the file overrides it.
     async def test() -> None:
         host, other = await Host("h").start(), await Host("g").start()
         old, new = await Registry().start(), await Registry().start()
@@ -310,16 +320,16 @@
 
         def config(address: str) -> dict[str, str]:
             known = {"index": 70, "snapshot": True, "endpoints": [entry(host)]}
-            return written(tmp_path, listen=f"127.0.0.1:{port}", discovery=address, known=known)
+            return write_config(tmp_path, listen=f"127.0.0.1:{port}", discovery=address, known=known)
 
         env = config(f"127.0.0.1:{old.port}") | {"LB_DISCOVERY": f"127.0.0.1:{old.port}"}
         process = await start(env)
         assert process.stderr is not None
-        client = await connected(port)
+        client = await connect_with_retry(port)
         await until(lambda: len(old.watches) == 1)
         assert "since=70" in old.calls[0]
 
-        # An unusable file: the old one stands, and a line says so.
+        # An unusable file is logged, and the old configuration stays.
         (tmp_path / "config.json").write_text("{")
         process.send_signal(signal.SIGHUP)
         while b"unusable" not in await process.stderr.readline():
@@ -330,10 +340,10 @@
         config(f"127.0.0.1:{new.port}")
         process.send_signal(signal.SIGHUP)
         await until(lambda: len(new.watches) == 1)
-        assert "since" not in new.calls[0]  # an index of the old service means nothing to the new one
-        old.stop()  # no failure: it is not followed any more
-        assert (await client.ask())[0] == 200  # the old list stands until the new one has answered
-        process.send_signal(signal.SIGHUP)  # nothing new in it: what is followed goes on
+        assert "since" not in new.calls[0]  # an index of the old service is invalid at the new one
+        old.stop()  # not a failure, as it is no longer followed
+        assert (await client.ask())[0] == 200  # the old list stays until the new service answers
+        process.send_signal(signal.SIGHUP)  # an unchanged address keeps the watch
         new.send_chunk(new.change(entry(other), full=True))
         while (await client.ask())[2] != b"from g":
             pass
--- a/tests/proxy/test_run_line.py
+++ b/tests/proxy/test_run_line.py
@@ -1,4 +1,4 @@
-"""The deploy file's `run` line, as a platform that allows one process wants it."""
+"""The `run` command of the deploy file, on a platform that allows a single process."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 import pytest
 
 from tests.proxy.sockets import Client, Host, Registry, entry, run, start_process, until
-from tests.proxy.test_program import connected, free_port, written
+from tests.proxy.test_program import connect_with_retry, free_port, write_config
 from tests.support import guard
 
 ROOT = Path(__file__).resolve().parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
 
-def line(name: str) -> str:
-    """As the deploy file has it, but with the interpreter that runs the tests."""
+def run_command(name: str) -> str:
+    """Return a command of the deploy file, with the interpreter that runs the tests."""
     text = str(DEPLOY[name])
     assert ".venv/bin/python " in text
     return text.replace(".venv/bin/python", sys.executable)
@@ -30,35 +30,35 @@
 DECISION_MODULES = ("rates.py", "recovery_probe.py", "token_bucket.py")
 
 
-def test_every_file_of_decisions_is_named_as_policy() -> None:
+def test_deploy_file_names_all_decision_modules_as_policy() -> None:
     package = ROOT / "client_proxy"
     files = [path for name in DECISION_PACKAGES for path in (package / name).rglob("*.py")]
     files += [package / name for name in DECISION_MODULES]
     assert sorted(DEPLOY["policy"]) == sorted(str(path.relative_to(ROOT)) for path in files)
 
 
-def test_it_is_one_process_that_starts_no_other(tmp_path: Path) -> None:
+def test_program_is_one_process_without_children(tmp_path: Path) -> None:
     async def test() -> None:
         host, registry = await Host("h").start(), await Registry().start()
         port = free_port()
         known = {"index": 1, "snapshot": True, "endpoints": [entry(host)]}
-        env = written(
+        env = write_config(
             tmp_path, listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{registry.port}", known=known
         )
         process = await start_process(
-            "/bin/sh", "-c", line("run"), cwd=ROOT, env=guard.hooked(tmp_path, os.environ | env)
+            "/bin/sh", "-c", run_command("run"), cwd=ROOT, env=guard.hooked(tmp_path, os.environ | env)
         )
-        client = await connected(port)
+        client = await connect_with_retry(port)
         for _ in range(20):
             assert (await client.ask())[0] == 200
-        process.send_signal(signal.SIGHUP)  # reads its file again
+        process.send_signal(signal.SIGHUP)  # reloads the configuration
         others = [await Client.connect(port) for _ in range(20)]
-        for each in others:
-            assert (await each.ask())[0] == 200
-        # `exec` has put the program in the shell's place: it is the program that gets the signals.
+        for other_client in others:
+            assert (await other_client.ask())[0] == 200
+        # The shell has replaced itself by `exec`, so the program gets the signals.
         assert guard.command(process.pid)[1:3] == ["-m", "client_proxy.proxy"]
         assert any(name.startswith("libc.so") for name in guard.loaded(process.pid))
-        await until(lambda: guard.at_rest(process.pid))  # with nothing to do, nothing spins
+        await until(lambda: guard.at_rest(process.pid))  # an idle program uses no CPU time
         assert not guard.offspring(process.pid)
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
@@ -97,7 +97,7 @@
         assert process.stdout is not None
         assert await process.stdout.readline() == b"made\n"
         assert guard.offspring(process.pid)
-        await process.communicate(b"")  # ends its input
+        await process.communicate(b"")  # closes its stdin
 
     run(test())
 
@@ -106,7 +106,7 @@
     "text",
     ["os.fork()", "os.system('true')", "subprocess.run(['true'])", "os.execv('/bin/true', ['true'])"],
 )
-def test_the_guard_ends_who_asks_for_another_process(tmp_path: Path, text: str) -> None:
+def test_the_guard_ends_a_process_that_starts_another(tmp_path: Path, text: str) -> None:
     async def test() -> None:
         process = await start_process(
             *(sys.executable, "-c", f"import os, subprocess; {text}"),
@@ -120,15 +120,15 @@
     run(test())
 
 
-def test_a_platform_file_that_cannot_be_read_ends_the_start(tmp_path: Path) -> None:
-    # The file is named by a relative path: `run` is started from the root, and nowhere else.
+def test_unreadable_operators_file_ends_the_start(tmp_path: Path) -> None:
+    # The file is named by a relative path, as `run` is always started from the root.
     async def test() -> None:
-        text = line("run").replace("deploy/platform.toml", "deploy/none.toml")
-        assert text != line("run")
+        text = run_command("run").replace("deploy/platform.toml", "deploy/none.toml")
+        assert text != run_command("run")
         process = await start_process(
             *("/bin/sh", "-c", text),
             cwd=ROOT,
-            env=os.environ | written(tmp_path),
+            env=os.environ | write_config(tmp_path),
             stderr=asyncio.subprocess.PIPE,
         )
         _, err = await process.communicate()
--- a/tests/proxy/test_signals.py
+++ b/tests/proxy/test_signals.py
@@ -1,12 +1,12 @@
-"""Signals at any moment of a process's life, from its first line to its last.
-
-What callers saw: while operators moved discovery by SIGHUP and restarted a tenth of the fleet, each proxy
-that was starting just then ended by signal 1, and one of 60 that were ending did so after its last answer;
-Ctrl-C ended a proxy at once, with three to seven requests lost that were with servers.
-Why: the handlers were the event loop's. Until the loop ran, and again once it was closed, the action was the
-system's default, or Python's KeyboardInterrupt. Seen on b741aa1:
-    SIGHUP 0, 20, 40 ... 300 ms after the start: 16 of 16 ended, exit code -1
-    SIGINT with a request at a server: KeyboardInterrupt, exit code -2, the request without an answer
+"""Signals at any time between the start and the exit of a process.
+
+Failure: while operators moved discovery by SIGHUP and restarted a tenth of the fleet, each proxy that was
+just starting was ended by signal 1, and so was one of 60 that were exiting, after its last response. Ctrl-C
+ended a proxy at once, and three to seven requests at servers were lost.
+Cause: the signal handlers were those of the event loop. Before the loop ran, and after it was closed, signals
+had the kernel's default action, or raised KeyboardInterrupt. Seen on commit b741aa1:
+    SIGHUP 0, 20, 40 ... 300 ms after the start: 16 of 16 processes ended, exit code -1
+    SIGINT with a request at a server: KeyboardInterrupt, exit code -2, no response to the request
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
     ReceivedRequest,
     Registry,
     entry,
-    http,
+    http_response,
     run,
     start_process,
     until,
 )
-from tests.proxy.test_program import connected, free_port, start, written
-from tests.proxy.test_run_line import ROOT, line
+from tests.proxy.test_program import connect_with_retry, free_port, start, write_config
+from tests.proxy.test_run_line import ROOT, run_command
 from tests.support import guard
 
-SERIES_PAUSE_S = 0.004  # between two signals of a series
+SERIES_PAUSE_S = 0.004  # between two repeated signals
 PACKAGE = ROOT / "client_proxy"
 
 
@@ -51,7 +51,7 @@
 async def send_until(
     process: asyncio.subprocess.Process, number: signal.Signals, holds: Callable[[], bool]
 ) -> int:
-    """Send a signal again and again until it holds, or the process has ended; returns how often."""
+    """Send a signal repeatedly until the condition holds or the process has exited; returns how often."""
     count = 0
     while not holds() and running(process):
         with suppress(ProcessLookupError):
@@ -62,14 +62,14 @@
 
 
 async def first_answer(port: int) -> int:
-    client = await connected(port)
+    client = await connect_with_retry(port)
     status, _, _ = await client.ask()
     client.close()
     return status
 
 
-async def bears_a_series(process: asyncio.subprocess.Process, port: int) -> None:
-    """SIGHUP comes again and again, from now on until the process is gone; it serves, and ends in order."""
+async def survives_signal_series(process: asyncio.subprocess.Process, port: int) -> None:
+    """Send SIGHUP repeatedly until the process has exited; it must serve, and exit cleanly on SIGTERM."""
     answered = asyncio.create_task(first_answer(port))
     count = await send_until(process, signal.SIGHUP, answered.done)
     assert running(process), f"ended with {process.returncode} after {count} signals"
@@ -83,41 +83,43 @@
 
 def config(folder: Path, port: int, registry: Registry, *hosts: Host) -> dict[str, str]:
     known = {"index": 1, "snapshot": True, "endpoints": [entry(host) for host in hosts]}
-    return written(folder, listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{registry.port}", known=known)
+    return write_config(
+        folder, listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{registry.port}", known=known
+    )
 
 
-async def held_until(release: asyncio.Event, writer: asyncio.StreamWriter) -> None:
+async def answer_after(release: asyncio.Event, writer: asyncio.StreamWriter) -> None:
     await release.wait()
-    writer.write(http(200, b"done"))
+    writer.write(http_response(200, b"done"))
 
 
-def test_a_series_of_sighup_from_the_first_line_on_ends_nothing(tmp_path: Path) -> None:
-    # By the deploy file's line: from the moment in which the shell has become the program.
+def test_repeated_sighup_from_the_start_of_the_run_command_is_survived(tmp_path: Path) -> None:
+    # With the deploy file's command, from the moment when the shell has replaced itself by the program.
     async def test() -> None:
         host, registry = await Host("h").start(), await Registry().start()
         port = free_port()
         process = await start_process(
-            *("/bin/sh", "-c", line("run")),
+            *("/bin/sh", "-c", run_command("run")),
             cwd=ROOT,
             env=os.environ | config(tmp_path, port, registry, host),
             stderr=asyncio.subprocess.PIPE,
         )
         await until(lambda: "client_proxy.proxy" in guard.command(process.pid)[1:])
-        await bears_a_series(process, port)
+        await survives_signal_series(process, port)
         host.stop()
         registry.stop()
 
     run(test())
 
 
-def test_a_series_of_sighup_from_the_program_s_own_handler_on_ends_nothing(tmp_path: Path) -> None:
-    # Without the deploy file's line, the program's own first lines have to be enough.
+def test_repeated_sighup_from_the_program_s_own_handler_is_survived(tmp_path: Path) -> None:
+    # Without the deploy file's command, the handlers that the program installs must be enough.
     async def test() -> None:
         host, registry = await Host("h").start(), await Registry().start()
         port = free_port()
         process = await start(config(tmp_path, port, registry, host))
         await until(lambda: handles_signal(process.pid, signal.SIGHUP))
-        await bears_a_series(process, port)
+        await survives_signal_series(process, port)
         host.stop()
         registry.stop()
 
@@ -138,8 +140,8 @@
     loaded = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True
     ).stdout.split()
-    own = {name for name in loaded if name.startswith("client_proxy")}
-    assert own == {"client_proxy", "client_proxy.process_signals"}
+    own_modules = {name for name in loaded if name.startswith("client_proxy")}
+    assert own_modules == {"client_proxy", "client_proxy.process_signals"}
     assert not set(loaded) & {"asyncio", "logging", "socket", "uvloop", "httptools", "click"}
 
 
@@ -163,20 +165,24 @@
     [
         (["client_proxy.proxy"], "client_proxy.proxy.program", True),
         (["client_proxy.cli", "serve"], "client_proxy.cli.commands", True),
-        (["client_proxy.cli", "version"], "client_proxy.cli.commands", False),  # it holds no requests
+        (
+            ["client_proxy.cli", "version"],
+            "client_proxy.cli.commands",
+            False,
+        ),  # this command holds no requests
     ],
 )
-def test_the_handlers_stand_when_the_program_is_imported(
+def test_handlers_are_installed_before_the_program_is_imported(
     words: list[str], imported: str, handled: bool
 ) -> None:
-    said = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", PROBE, *words, imported], cwd=ROOT, capture_output=True, text=True
     )
-    assert said.stdout.split() == [str(handled)], said.stderr
+    assert result.stdout.split() == [str(handled)], result.stderr
 
 
-def test_a_sighup_between_the_first_reading_of_the_file_and_the_loop_counts(tmp_path: Path) -> None:
-    # The operators' file is a pipe: the start stands between the two for as long as the test wants.
+def test_sighup_between_reading_the_file_and_the_loop_is_handled(tmp_path: Path) -> None:
+    # The operators' file is a pipe, so the start blocks between the two until the test writes to it.
     async def test() -> None:
         host = await Host("h").start()
         old, new = await Registry().start(), await Registry().start()
@@ -186,10 +192,10 @@
         process = await start_process(
             *(sys.executable, "-m", "client_proxy.proxy", "--operators", str(pipe)), env=os.environ | env
         )
-        end = await asyncio.to_thread(os.open, pipe, os.O_WRONLY)  # it has read its configuration
+        pipe_end = await asyncio.to_thread(os.open, pipe, os.O_WRONLY)  # the proxy has read its configuration
         config(tmp_path, port, new, host)
         process.send_signal(signal.SIGHUP)
-        os.close(end)
+        os.close(pipe_end)
         await until(lambda: bool(new.watches) or not running(process))
         assert running(process)
         assert await first_answer(port) == 200
@@ -202,9 +208,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_a_shutdown_that_is_asked_for_during_the_start_is_an_end_in_order(
-    tmp_path: Path, number: signal.Signals
-) -> None:
+def test_termination_during_the_start_exits_cleanly(tmp_path: Path, number: signal.Signals) -> None:
     async def test() -> None:
         host, registry = await Host("h").start(), await Registry().start()
         port, pipe = free_port(), tmp_path / "operators.toml"
@@ -214,10 +218,10 @@
             env=os.environ | config(tmp_path, port, registry, host),
             stderr=asyncio.subprocess.PIPE,
         )
-        end = await asyncio.to_thread(os.open, pipe, os.O_WRONLY)
+        pipe_end = await asyncio.to_thread(os.open, pipe, os.O_WRONLY)
         process.send_signal(number)
         process.send_signal(signal.SIGHUP)
-        os.close(end)
+        os.close(pipe_end)
         _, err = await process.communicate()
         assert process.returncode == 0, err
         assert b"Traceback" not in err
@@ -235,27 +239,25 @@
         (signal.SIGINT, signal.SIGHUP, signal.SIGINT, signal.SIGTERM, signal.SIGINT),
     ],
 )
-def test_an_interrupt_from_the_keyboard_loses_nothing(
-    tmp_path: Path, numbers: tuple[signal.Signals, ...]
-) -> None:
+def test_sigint_loses_no_request(tmp_path: Path, numbers: tuple[signal.Signals, ...]) -> None:
     release = asyncio.Event()
 
-    async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        await held_until(release, writer)
+    async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        await answer_after(release, writer)
 
     async def test() -> None:
         host, registry = await Host("h", held).start(), await Registry().start()
         port = free_port()
         process = await start(config(tmp_path, port, registry, host))
-        resting = await connected(port)
-        resting.writer.write(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert (await resting.answer())[0] == 200
+        idle_client = await connect_with_retry(port)
+        idle_client.writer.write(b"GET /ready HTTP/1.1\r\n\r\n")
+        assert (await idle_client.answer())[0] == 200
         client = await Client.connect(port)
         client.send()
         await until(lambda: len(host.received) == 1)
         for number in numbers:
             process.send_signal(number)
-        assert await resting.reader.read() == b""  # it has stopped taking connections
+        assert await idle_client.reader.read() == b""  # the proxy has stopped accepting connections
         process.send_signal(signal.SIGINT)
         release.set()
         status, _, body = await client.answer()
@@ -285,7 +287,7 @@
 """
 
 
-def test_serve_bears_signals_in_series_from_its_first_line_to_its_last(tmp_path: Path) -> None:
+def test_serve_survives_repeated_signals(tmp_path: Path) -> None:
     async def test() -> None:
         host = await Host("h").start()
         port = free_port()
@@ -296,24 +298,24 @@
             stderr=asyncio.subprocess.PIPE,
         )
         await until(lambda: handles_signal(process.pid, signal.SIGHUP))
-        await bears_a_series(process, port)
+        await survives_signal_series(process, port)
         host.stop()
 
     run(test())
 
 
-def test_what_comes_before_the_loop_is_told_once_it_runs() -> None:
-    signals, told = ProcessSignals(), list[str]()
+def test_signals_before_the_loop_are_delivered_once_it_runs() -> None:
+    signals, calls = ProcessSignals(), list[str]()
     signals._reload(signal.SIGHUP, None)
     signals._terminate(signal.SIGTERM, None)
     assert signals.termination_requested
-    signals.attach(lambda callback: callback(), lambda: told.append("end"), lambda: told.append("reload"))
-    assert told == ["reload", "end"]
+    signals.attach(lambda callback: callback(), lambda: calls.append("end"), lambda: calls.append("reload"))
+    assert calls == ["reload", "end"]
     signals._reload(signal.SIGHUP, None)
-    assert told == ["reload", "end", "reload"]
+    assert calls == ["reload", "end", "reload"]
 
 
-def test_an_interrupt_that_is_ignored_from_the_start_stays_ignored() -> None:
+def test_sigint_ignored_at_the_start_stays_ignored() -> None:
     code = (
         "import os, signal; from client_proxy.process_signals import PROCESS_SIGNALS as signals; "
         "signal.signal(signal.SIGINT, signal.SIG_IGN); signals.install(); "
@@ -321,5 +323,5 @@
         "print(signals.termination_requested, signals._reload_requested); "
         "os.kill(os.getpid(), signal.SIGTERM); print(signals.termination_requested)"
     )
-    said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True).stdout
-    assert said.split() == ["False", "True", "True"]
+    result = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True).stdout
+    assert result.split() == ["False", "True", "True"]
--- a/tests/proxy/test_stall.py
+++ b/tests/proxy/test_stall.py
@@ -1,4 +1,4 @@
-"""A process that stood still goes on: what its clients have given up meanwhile is not begun any more."""
+"""After a stall of the process: requests of clients that left meanwhile are not started."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from client_proxy.proxy.stall_detector import HEARTBEAT_S, STALL_S, TOLERATED_LATENESS_S, StallDetector
 from tests.proxy.sockets import UNSAFE_CLASS, Client, Host, proxy, run, until
 
-TOLD_TIME_SLACK_S = 0.15  # the protocol's
+STATED_EXPIRY_SLACK_S = 0.15  # by which the protocol allows X-Expires-In-Ms to exceed the time left
 
 
 def request(number: int) -> bytes:
@@ -21,47 +21,47 @@
     return f"{head}X-Expires-In-Ms: 1200\r\nContent-Length: 0\r\n\r\n".encode()
 
 
-def test_after_a_stop_who_has_left_is_not_served_and_who_waits_is() -> None:
+def test_after_a_stall_only_connected_clients_are_served() -> None:
     async def test() -> None:
         host = Host("a")
-        async with proxy(host) as made:
-            client = await Client.connect(made.port)
-            assert (await client.ask(UNSAFE_CLASS))[0] == 200  # the sweeps are on
-            before = len(host.received)
+        async with proxy(host) as p:
+            client = await Client.connect(p.port)
+            assert (await client.ask(UNSAFE_CLASS))[0] == 200  # starts the listener's sweeps
+            received_before = len(host.received)
             for number in range(50):
-                with socket.create_connection(("127.0.0.1", made.port)) as gone:
-                    gone.sendall(request(number))
-            waits = socket.create_connection(("127.0.0.1", made.port))
-            waits.sendall(request(1000))
-            # The stop: nothing of this process runs.
+                with socket.create_connection(("127.0.0.1", p.port)) as disconnected:
+                    disconnected.sendall(request(number))
+            waiting_client = socket.create_connection(("127.0.0.1", p.port))
+            waiting_client.sendall(request(1000))
+            # The stall: the whole process is blocked.
             time.sleep(STALL_S + 0.4)
-            waits.setblocking(False)
-            answer = await asyncio.get_running_loop().sock_recv(waits, 4096)
+            waiting_client.setblocking(False)
+            answer = await asyncio.get_running_loop().sock_recv(waiting_client, 4096)
             assert answer.startswith(b"HTTP/1.1 200"), answer
             assert (await client.ask(UNSAFE_CLASS))[0] == 200
-            sent = [got.headers["x-trace-id"] for got in host.received[before:]]
+            sent = [received.headers["x-trace-id"] for received in host.received[received_before:]]
             assert "stall1000" in sent
             assert not [id_ for id_ in sent if id_.startswith("stall") and id_ != "stall1000"], sent
-            waits.close()
+            waiting_client.close()
             client.close()
 
     run(test())
 
 
-def test_without_a_stop_nothing_waits() -> None:
+def test_without_a_stall_requests_start_at_once() -> None:
     async def test() -> None:
         host = Host("a")
-        async with proxy(host) as made:
-            gone = socket.create_connection(("127.0.0.1", made.port))
-            gone.sendall(request(1))
-            await until(lambda: len(host.received) == 1)  # begun although its client will leave
-            gone.close()
+        async with proxy(host) as p:
+            disconnected = socket.create_connection(("127.0.0.1", p.port))
+            disconnected.sendall(request(1))
+            await until(lambda: len(host.received) == 1)  # started at once, although its client leaves later
+            disconnected.close()
 
     run(test())
 
 
 class DrivenClock:
-    """A clock that stands until the test moves it."""
+    """A clock that only the test advances."""
 
     def __init__(self) -> None:
         self.now_s = 1000.0
@@ -71,12 +71,12 @@
 
 
 @pytest.mark.parametrize("stop_s", [0.2, 0.6, 1.2])
-def test_a_stop_is_known_before_the_late_timer_has_run(stop_s: float) -> None:
-    # Callers saw: a server told 8.0 s for a request that had waited 1.2 s in a stopped proxy.
-    # Why: after SIGCONT the loop reads its sockets before it runs its timers, and only the late timer told of
-    # the stop. What was read in that turn counted from the moment of reading. The trace of one request:
-    #     0.000 s data_received, received_ms = now, no stop known
-    #     0.000 s sweep: "stood still for 1.0 s"
+def test_stall_is_detected_before_the_late_timer_runs(stop_s: float) -> None:
+    # Failure: X-Expires-In-Ms stated 8.0 s for a request that had waited 1.2 s in a stopped proxy.
+    # Cause: after SIGCONT the loop reads its sockets before it runs its timers, and only the late timer
+    # detected the stall, so requests read in that iteration counted from the read. Trace of one request:
+    #     0.000 s data_received: received_ms = now, no stall known
+    #     0.000 s sweep: logs a stall of 1.0 s
     clock = DrivenClock()
 
     async def test() -> None:
@@ -85,7 +85,7 @@
         began_ms = 1000.0 * clock.now_s
         assert detector.stalled_since_ms() is None
         clock.now_s += stop_s
-        # The loop has not turned: no timer has run.
+        # No loop iteration, so no timer has run.
         assert detector.stalled_since_ms() == began_ms
         assert detector.recovering() == (stop_s > STALL_S + HEARTBEAT_S)
         detector.stop()
@@ -94,11 +94,11 @@
         run(test())
 
 
-def test_no_stop_is_missed_that_the_slack_of_told_times_does_not_cover() -> None:
-    assert HEARTBEAT_S + TOLERATED_LATENESS_S <= TOLD_TIME_SLACK_S
+def test_undetected_stalls_stay_within_the_expiry_slack() -> None:
+    assert HEARTBEAT_S + TOLERATED_LATENESS_S <= STATED_EXPIRY_SLACK_S
 
 
-def test_a_second_stop_before_the_timer_has_run_is_noted_too() -> None:
+def test_second_stall_before_the_timer_runs_is_detected() -> None:
     clock = DrivenClock()
 
     async def test() -> None:
@@ -117,20 +117,20 @@
         run(test())
 
 
-def test_a_request_whose_end_came_during_a_stop_is_not_timed_out() -> None:
-    # The sweep would answer 408 to what has come whole, before the loop has read the rest of it.
+def test_request_completed_during_a_stall_does_not_time_out() -> None:
+    # The sweep answered 408 to a complete request before the loop had read the rest of it.
     clock = DrivenClock()
 
     async def test() -> None:
         host = Host("a")
-        async with proxy(host) as made:
-            client = socket.create_connection(("127.0.0.1", made.port))
-            whole = request(7)
-            client.sendall(whole[:20])
-            await until(lambda: any(c._parser.in_message for c in made.listener.connections))
-            client.sendall(whole[20:])
+        async with proxy(host) as p:
+            client = socket.create_connection(("127.0.0.1", p.port))
+            encoded = request(7)
+            client.sendall(encoded[:20])
+            await until(lambda: any(c._parser.in_message for c in p.listener.connections))
+            client.sendall(encoded[20:])
             clock.now_s += REQUEST_TIMEOUT_MS / 1000.0 + 1.0
-            made.listener._sweep()
+            p.listener._sweep()
             client.setblocking(False)
             answer = await asyncio.get_running_loop().sock_recv(client, 4096)
             assert answer.startswith(b"HTTP/1.1 "), answer
--- a/tests/proxy/test_time_told.py
+++ b/tests/proxy/test_time_told.py
@@ -1,6 +1,6 @@
-"""The time that an attempt tells its host is at most what is left to its client, whatever held it up.
+"""X-Expires-In-Ms states at most the time that the client has left, whatever delayed the attempt.
 
-The clock is set forward at the crossing in question, and what passes beside it makes the told time less."""
+The tests advance the clock at the point of the delay; real time that passes only lowers the stated time."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
     ReceivedRequest,
     Registry,
     entry,
-    http,
+    http_response,
     run,
     settings_json,
     until,
 )
 from tests.proxy.sockets import proxy as proxy_of
-from tests.proxy.test_before_the_write import during_dials
-from tests.proxy.test_program import connected, free_port, start, written
-from tests.proxy.test_stall import request as stalled
+from tests.proxy.test_before_the_write import run_during_dials
+from tests.proxy.test_program import connect_with_retry, free_port, start, write_config
+from tests.proxy.test_stall import request as stalled_request
 
 EXPIRES_MS = 600_000
 LATE_MS = 100_000.0
-SLACK_MS = 150.0  # the system tells times in ticks
+SLACK_MS = 150.0  # the kernel's times are in ticks
 
 
-class Ahead:
-    """A clock that runs ahead of the system's by what the test adds."""
+class AdvancedClock:
+    """A clock that runs ahead of the system clock by what the test adds."""
 
     def __init__(self) -> None:
         self.ms = 0.0
@@ -56,14 +56,14 @@
 
 
 @contextmanager
-def clock() -> Iterator[Ahead]:
-    ahead = Ahead()
-    with driven(ahead.now_s, time.time):
-        yield ahead
+def advanced_clock() -> Iterator[AdvancedClock]:
+    clock_ahead = AdvancedClock()
+    with driven(clock_ahead.now_s, time.time):
+        yield clock_ahead
 
 
-def patient() -> dict[str, Any]:
-    """Settings by which nothing but the clients' time ends a request."""
+def settings_without_timeouts() -> dict[str, Any]:
+    """Settings by which only the clients' deadlines end a request."""
     settings = settings_json()
     for cls in settings["categories"]:
         cls["aim_ms"] = cls["deadline_ms"] = float(EXPIRES_MS)
@@ -72,85 +72,89 @@
     return settings
 
 
-def told_ms(got: ReceivedRequest) -> int:
-    return int(got.headers["x-expires-in-ms"])
+def stated_expiry_ms(received: ReceivedRequest) -> int:
+    return int(received.headers["x-expires-in-ms"])
 
 
-@pytest.mark.parametrize("late", ["its answer", "its wait", "its dial", "all of them"])
-def test_a_further_attempt_tells_what_is_left_then(late: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    with clock() as ahead:
+@pytest.mark.parametrize("delayed", ["its answer", "its wait", "its dial", "all of them"])
+def test_retry_states_the_time_left_at_its_write(delayed: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    with advanced_clock() as clock_ahead:
 
-        async def failing(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def fail_first(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             if sum(len(host.received) for host in hosts) > 1:
-                writer.write(http(200))
+                writer.write(http_response(200))
                 return
-            if late in ("its answer", "all of them"):
-                ahead.pass_ms(LATE_MS)
-            if late in ("its dial", "all of them"):
-                during_dials(proxies[0], lambda: ahead.pass_ms(LATE_MS))
-            writer.write(http(500))
+            if delayed in ("its answer", "all of them"):
+                clock_ahead.pass_ms(LATE_MS)
+            if delayed in ("its dial", "all of them"):
+                run_during_dials(proxies[0], lambda: clock_ahead.pass_ms(LATE_MS))
+            writer.write(http_response(500))
 
-        hosts = [Host("a", failing), Host("b", failing)]
+        hosts = [Host("a", fail_first), Host("b", fail_first)]
         proxies: list[Proxy] = []
 
         async def test() -> None:
-            async with proxy_of(*hosts, settings=patient()) as p:
+            async with proxy_of(*hosts, settings=settings_without_timeouts()) as p:
                 proxies.append(p)
-                if late in ("its wait", "all of them"):
+                if delayed in ("its wait", "all of them"):
                     post = p.engine.post
 
-                    def posted(event: object) -> None:
-                        # The process stands still as its wait ends: it is decided long after it was due.
+                    def post_late(event: object) -> None:
+                        # The process stalls as the backoff ends: the retry is decided long after it was due.
                         if isinstance(event, TimerFired):
-                            ahead.pass_ms(LATE_MS)
+                            clock_ahead.pass_ms(LATE_MS)
                         post(event)  # type: ignore[arg-type]
 
-                    monkeypatch.setattr(p.engine, "post", posted)
+                    monkeypatch.setattr(p.engine, "post", post_late)
                 client = await Client.connect(p.port)
                 assert (await client.ask(KEYED_CLASS, expires_ms=EXPIRES_MS))[0] == 200
-                first, further = sorted(
-                    (got for host in hosts for got in host.received), key=told_ms, reverse=True
+                first, retry = sorted(
+                    (received for host in hosts for received in host.received),
+                    key=stated_expiry_ms,
+                    reverse=True,
                 )
-                passed_ms = 3 * LATE_MS if late == "all of them" else LATE_MS
-                assert told_ms(first) <= EXPIRES_MS
-                # Each wait is 100 ms at the least.
-                assert told_ms(further) <= EXPIRES_MS - passed_ms - 100.0
+                passed_ms = 3 * LATE_MS if delayed == "all of them" else LATE_MS
+                assert stated_expiry_ms(first) <= EXPIRES_MS
+                # Each backoff is at least 100 ms.
+                assert stated_expiry_ms(retry) <= EXPIRES_MS - passed_ms - 100.0
                 client.close()
 
         run(test())
 
 
-@pytest.mark.parametrize("ahead_of_it", [3, 3 * MAX_PIPELINED_REQUESTS])
-def test_requests_sent_ahead_are_counted_from_when_they_came(ahead_of_it: int) -> None:
-    # They stayed in the system's hands until those before had their answers, and had all of their time then.
-    with clock() as ahead:
+@pytest.mark.parametrize("pipelined", [3, 3 * MAX_PIPELINED_REQUESTS])
+def test_pipelined_requests_expire_counted_from_their_arrival(pipelined: int) -> None:
+    # They waited in the kernel until earlier requests were answered, and then got their full deadline.
+    with advanced_clock() as clock_ahead:
 
-        async def held(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await release.wait()
-            writer.write(http(200))
+            writer.write(http_response(200))
 
         release = asyncio.Event()
 
         async def test() -> None:
             host = Host("h", held)
-            async with proxy_of(host, settings=patient()) as p:
+            async with proxy_of(host, settings=settings_without_timeouts()) as p:
                 client = await Client.connect(p.port)
                 client.send(UNSAFE_CLASS, expires_ms=EXPIRES_MS)
                 await until(lambda: len(host.received) == 1)
                 (connection,) = p.listener.connections
-                for number in range(ahead_of_it):
+                for number in range(pipelined):
                     client.send(UNSAFE_CLASS, body=b"x" * 2000, expires_ms=EXPIRES_MS)
-                    await until(lambda number=number: come(connection, number + 1))  # type: ignore[misc]
-                ahead.pass_ms(LATE_MS)
+                    await until(lambda number=number: has_arrived(connection, number + 1))  # type: ignore[misc]
+                clock_ahead.pass_ms(LATE_MS)
                 release.set()
-                for _ in range(ahead_of_it + 1):
+                for _ in range(pipelined + 1):
                     assert (await client.answer())[0] == 200
-                assert len(host.received) == ahead_of_it + 1
-                assert max(told_ms(got) for got in host.received[1:]) <= EXPIRES_MS - LATE_MS
+                assert len(host.received) == pipelined + 1
+                assert (
+                    max(stated_expiry_ms(received) for received in host.received[1:]) <= EXPIRES_MS - LATE_MS
+                )
                 client.close()
 
-        def come(connection: ClientConnection, count: int) -> bool:
-            """All of them are read, or in the system's hands."""
+        def has_arrived(connection: ClientConnection, count: int) -> bool:
+            """Whether all requests are read, or wait in the kernel."""
             transport, peer = connection._transport, connection._socket_state
             assert transport is not None
             assert peer is not None
@@ -160,14 +164,14 @@
         run(test())
 
 
-def test_a_pause_of_reading_is_not_held_against_what_comes_after_it() -> None:
-    with clock() as ahead:
+def test_read_pause_does_not_count_against_later_requests() -> None:
+    with advanced_clock() as clock_ahead:
 
         async def test() -> None:
             host = Host("h")
-            async with proxy_of(host, settings=patient()) as p:
+            async with proxy_of(host, settings=settings_without_timeouts()) as p:
                 client = await Client.connect(p.port)
-                # More than is parsed ahead, in one piece: reading is paused, and goes on.
+                # More requests than are parsed ahead, in one piece: reading is paused and resumed.
                 many = b"".join(
                     client.encode_request(UNSAFE_CLASS, expires_ms=EXPIRES_MS)
                     for _ in range(3 * MAX_PIPELINED_REQUESTS)
@@ -175,49 +179,49 @@
                 client.writer.write(many)
                 for _ in range(3 * MAX_PIPELINED_REQUESTS):
                     assert (await client.answer())[0] == 200
-                ahead.pass_ms(LATE_MS)  # it rests
+                clock_ahead.pass_ms(LATE_MS)  # the connection is idle
                 assert (await client.ask(UNSAFE_CLASS, expires_ms=EXPIRES_MS))[0] == 200
-                assert told_ms(host.received[-1]) > EXPIRES_MS - LATE_MS
+                assert stated_expiry_ms(host.received[-1]) > EXPIRES_MS - LATE_MS
                 client.close()
 
         run(test())
 
 
-def test_a_stopped_process_tells_the_time_since_its_requests_came(tmp_path: Path) -> None:
-    # Read after the stop, they were counted from then.
+def test_stopped_process_counts_expiry_from_the_arrival(tmp_path: Path) -> None:
+    # Requests read after the stop were counted from the read.
     stop_s = 1.2
 
     async def test() -> None:
         host, registry = await Host("h").start(), await Registry().start()
         port = free_port()
         process = await start(
-            written(
+            write_config(
                 tmp_path,
                 listen=f"127.0.0.1:{port}",
                 discovery=f"127.0.0.1:{registry.port}",
                 known={"index": 1, "snapshot": True, "endpoints": [entry(host)]},
-                settings=patient(),
+                settings=settings_without_timeouts(),
             )
         )
-        client = await connected(port)
-        assert (await client.ask(UNSAFE_CLASS, expires_ms=8000))[0] == 200  # the sweeps are on
+        client = await connect_with_retry(port)
+        assert (await client.ask(UNSAFE_CLASS, expires_ms=8000))[0] == 200  # starts the listener's sweeps
         process.send_signal(signal.SIGSTOP)
         state = Path(f"/proc/{process.pid}/stat")
         await until(lambda: state.read_text().rpartition(")")[2].split()[0] == "T")
         for number in range(20):
-            with socket.create_connection(("127.0.0.1", port)) as gone:
-                gone.sendall(stalled(number))
+            with socket.create_connection(("127.0.0.1", port)) as disconnected:
+                disconnected.sendall(stalled_request(number))
         client.send(UNSAFE_CLASS, expires_ms=8000)
         await client.writer.drain()
         await asyncio.sleep(stop_s)
         process.send_signal(signal.SIGCONT)
         assert (await client.answer())[0] == 200
         assert [
-            got.headers["x-trace-id"]
-            for got in host.received
-            if got.headers["x-trace-id"].startswith("stall")
+            received.headers["x-trace-id"]
+            for received in host.received
+            if received.headers["x-trace-id"].startswith("stall")
         ] == []
-        assert told_ms(host.received[-1]) <= 8000 - 1000 * stop_s + SLACK_MS
+        assert stated_expiry_ms(host.received[-1]) <= 8000 - 1000 * stop_s + SLACK_MS
         process.send_signal(signal.SIGTERM)
         client.close()
         await process.communicate()
--- a/tests/proxy/test_told_in_time.py
+++ b/tests/proxy/test_told_in_time.py
@@ -1,7 +1,7 @@
-"""Every change that discovery has, and that can be reached, is acted on before it counts as told.
+"""Each change at a reachable discovery service is known within the notification limit.
 
-On a clock that does not wait: the service is away in one of many ways until some moment, has a change then,
-and answers each call that is made from then on. What was called before stays lost."""
+On a virtual clock: the service fails in one of several ways for some time, then has a change and answers each
+later call. Earlier calls stay unanswered."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from client_proxy.settings import read_settings
 from tests.proxy.sockets import settings_json
 
-AT = ("127.0.0.1", 8500)
+DISCOVERY_ADDRESS = ("127.0.0.1", 8500)
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-# How long a call waits its turn once the service is back. A second is what is set aside for the next call.
-TURN_S = 0.3
+# Time until the recovered service answers a call; less than the second that is allowed for the next call.
+RESPONSE_DELAY_S = 0.3
 
 
-def listed(status: str, index: int) -> bytes:
+def list_message(status: str, index: int) -> bytes:
     entry = {"name": "a", "address": "127.0.0.1:1", "zone": "z", "group": 1, "status": status}
     return json.dumps({"index": index, "snapshot": True, "endpoints": [entry]}, indent=1).encode() + b"\n"
 
@@ -40,7 +40,7 @@
 
 
 class Call(asyncio.Protocol):
-    """One connection to the service."""
+    """The service's side of one connection."""
 
     def __init__(self, service: Service) -> None:
         self.service = service
@@ -54,79 +54,85 @@
 
 
 class Service:
-    """Discovery: away in one way until it is back. It begins with a list that everybody has heard."""
+    """A discovery service that fails in one way until it comes back. It first sends a list to the proxy."""
 
-    def __init__(self, loop: VirtualLoop, network: MemoryNetwork, way: str) -> None:
-        self.loop, self.network, self.way = loop, network, way
+    def __init__(self, loop: VirtualLoop, network: MemoryNetwork, failure: str) -> None:
+        self.loop, self.network, self.failure = loop, network, failure
         self.back = False
         self.calls = 0
         self.watches: list[Call] = []
-        self.listener = network.listen(loop, lambda: Call(self), AT)
+        self.listener = network.listen(loop, lambda: Call(self), DISCOVERY_ADDRESS)
 
     def called(self, call: Call) -> None:
         self.calls += 1
         transport = call.transport
         if self.back:
-            self.loop.call_later(TURN_S, lambda: transport.write(HEAD + chunk(listed("draining", 2))))
+            self.loop.call_later(
+                RESPONSE_DELAY_S, lambda: transport.write(HEAD + chunk(list_message("draining", 2)))
+            )
         elif self.calls == 1:
-            transport.write(HEAD + chunk(listed("ready", 1)))
+            transport.write(HEAD + chunk(list_message("ready", 1)))
             self.watches.append(call)
-            self.loop.call_later(0.1, self.leave)
-        elif self.way == "reset":
+            self.loop.call_later(0.1, self.become_unavailable)
+        elif self.failure == "reset":
             transport.reset()
-        elif self.way == "503":
+        elif self.failure == "503":
             transport.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-        elif self.way == "half a line":
-            transport.write(HEAD + chunk(listed("draining", 2)[:40]))
-        elif self.way == "empty lines":
+        elif self.failure == "half a line":
+            transport.write(HEAD + chunk(list_message("draining", 2)[:40]))
+        elif self.failure == "empty lines":
             transport.write(HEAD)
-            self.beat(call)
-        # "silent": it says nothing
+            self.send_empty_line(call)
+        # "silent": no response
 
-    def beat(self, call: Call) -> None:
+    def send_empty_line(self, call: Call) -> None:
         if not self.back:
             call.transport.write(chunk(b"\n"))
-            self.loop.call_later(2.0, self.beat, call)
+            self.loop.call_later(2.0, self.send_empty_line, call)
 
-    def leave(self) -> None:
-        if self.way not in ("silent watch", "half a line"):
+    def become_unavailable(self) -> None:
+        if self.failure not in ("silent watch", "half a line"):
             for call in self.watches:
                 call.transport.reset()
-        if self.way == "refused":
+        if self.failure == "refused":
             self.listener.close()
-        elif self.way == "no dial":
+        elif self.failure == "no dial":
             self.listener.hold()
 
     def come_back(self) -> None:
         self.back = True
-        if self.way == "refused":
-            self.listener = self.network.listen(self.loop, lambda: Call(self), AT)
-        elif self.way == "no dial":
-            self.listener.waiting.clear()  # those were lost on the way
+        if self.failure == "refused":
+            self.listener = self.network.listen(self.loop, lambda: Call(self), DISCOVERY_ADDRESS)
+        elif self.failure == "no dial":
+            self.listener.waiting.clear()  # connects during the failure are lost
             self.listener.accepting = True
 
 
-WAYS = ["refused", "no dial", "silent", "silent watch", "reset", "503", "half a line", "empty lines"]
+FAILURES = ["refused", "no dial", "silent", "silent watch", "reset", "503", "half a line", "empty lines"]
 
 
-def heard_after_s(way: str, asked: bool, away_s: float, seed: int, max_poll_interval_ms: float) -> float:
-    """From the moment when the service could be reached to that at which the change was known."""
+def notification_delay_s(
+    failure: str, balancer_subscribes: bool, away_s: float, seed: int, max_poll_interval_ms: float
+) -> float:
+    """Return the time from the recovery of the service until the change is known."""
     scheduler = Scheduler()
     with driven(scheduler.time, scheduler.time):
         world = scheduler.new_loop("world")
         network = MemoryNetwork(world)
-        service = Service(world, network, way)
+        service = Service(world, network, failure)
         machine = network.join(scheduler.new_loop("proxy"))
         raw = settings_json()
         raw["safety"]["must_ask_in_ms"] = max_poll_interval_ms
-        raw["discovery"] = "subscribe" if asked else "automatic"
+        raw["discovery"] = "subscribe" if balancer_subscribes else "automatic"
         settings = read_settings(raw)
         directory = EndpointDirectory()
         upstream = UpstreamPool(settings.limits, (), 1000.0, 100)
 
         async def main() -> float:
             engine = Engine(settings, seed, directory, upstream)
-            engine.discovery = discovery = Discovery(AT, asked, directory, engine.notify_endpoints)
+            engine.discovery = discovery = Discovery(
+                DISCOVERY_ADDRESS, balancer_subscribes, directory, engine.notify_endpoints
+            )
             engine.start()
             discovery.start()
             while not directory.usable():
@@ -136,103 +142,109 @@
             back_s = scheduler.time()
             while directory.entries["a"].state is not EndpointState.DRAINING:
                 await asyncio.sleep(0.01)
-                assert scheduler.time() < back_s + 60.0, "it never heard"
-            heard_s = scheduler.time() - back_s
+                assert scheduler.time() < back_s + 60.0, "the change never became known"
+            delay_s = scheduler.time() - back_s
             discovery.stop()
-            return heard_s
+            return delay_s
 
         return scheduler.run(machine, main(), 1000.0)
 
 
-@pytest.mark.parametrize("asked", [True, False], ids=["asked", "pushed"])
-@pytest.mark.parametrize("way", WAYS)
-def test_a_change_is_known_before_it_counts_as_told(way: str, asked: bool) -> None:
-    # Short absences meet the first waits, long ones the longest; customers may state any time to ask in.
+@pytest.mark.parametrize("balancer_subscribes", [True, False], ids=["asked", "pushed"])
+@pytest.mark.parametrize("failure", FAILURES)
+def test_change_is_known_within_the_notification_limit(failure: str, balancer_subscribes: bool) -> None:
+    # Short failures meet the first retry delays, long ones the longest; any poll interval may be configured.
     cases = [
         (0.57 * step, max_poll_interval_ms)
         for step in range(24)
         for max_poll_interval_ms in (3_000.0, 120_000.0)
     ]
     late = [
-        (away_s, max_poll_interval_ms, heard_s)
+        (away_s, max_poll_interval_ms, delay_s)
         for number, (away_s, max_poll_interval_ms) in enumerate(cases)
-        if (heard_s := heard_after_s(way, asked, away_s, number, max_poll_interval_ms))
+        if (
+            delay_s := notification_delay_s(
+                failure, balancer_subscribes, away_s, number, max_poll_interval_ms
+            )
+        )
         > module.NOTIFICATION_LIMIT_S
     ]
     assert not late
 
 
-def test_the_stages_of_a_call_add_up() -> None:
+def test_call_stages_fit_into_the_notification_limit() -> None:
     stage_s = max(module.CONNECT_TIMEOUT_S, module.RESPONSE_TIMEOUT_S, module.WATCH_TIMEOUT_S)
-    again_s = max(module.RETRY_DELAY_S, MAX_RESUBSCRIBE_MS / 1000.0)
-    assert stage_s + again_s + module.NEXT_CALL_S <= module.NOTIFICATION_LIMIT_S
-    assert TURN_S < module.NEXT_CALL_S
+    wait_s = max(module.RETRY_DELAY_S, MAX_RESUBSCRIBE_MS / 1000.0)
+    assert stage_s + wait_s + module.NEXT_CALL_S <= module.NOTIFICATION_LIMIT_S
+    assert RESPONSE_DELAY_S < module.NEXT_CALL_S
 
 
-MOVED_S = 4.0  # after SIGHUP what the new service has counts as told
-LONGEST_TURN_S = 3.0  # a call waits for so long at discovery at most
+MOVE_LIMIT_S = 4.0  # after SIGHUP the list of the new service must be known by then
+LONGEST_RESPONSE_DELAY_S = 3.0  # discovery answers a call within this time
 
 
-def answer_late(loop: VirtualLoop, call: Call) -> None:
-    loop.call_later(LONGEST_TURN_S, lambda: call.transport.write(HEAD + chunk(listed("draining", 1))))
+def answer_after_longest_delay(loop: VirtualLoop, call: Call) -> None:
+    loop.call_later(
+        LONGEST_RESPONSE_DELAY_S, lambda: call.transport.write(HEAD + chunk(list_message("draining", 1)))
+    )
 
 
-class Elsewhere:
-    """The service that a new configuration names. Each call waits its longest turn."""
+class NewService:
+    """The service at the new address, which answers each call after the longest delay."""
 
-    def __init__(self, loop: VirtualLoop, network: MemoryNetwork, at: tuple[str, int]) -> None:
+    def __init__(self, loop: VirtualLoop, network: MemoryNetwork, address: tuple[str, int]) -> None:
         self.loop = loop
-        network.listen(loop, lambda: Call(self), at)  # type: ignore[arg-type]
+        network.listen(loop, lambda: Call(self), address)  # type: ignore[arg-type]
 
     def called(self, call: Call) -> None:
-        answer_late(self.loop, call)
+        answer_after_longest_delay(self.loop, call)
 
 
-def moved_after_s(way: str, asked: bool, away_s: float, seed: int) -> float:
-    """From a move, `away_s` after the old service has left, to the moment at which the new list is known."""
+def move_delay_s(failure: str, balancer_subscribes: bool, away_s: float, seed: int) -> float:
+    """Return the time from a move, `away_s` after the old service failed, until the new list is known."""
     scheduler = Scheduler()
     with driven(scheduler.time, scheduler.time):
         world = scheduler.new_loop("world")
         network = MemoryNetwork(world)
-        Service(world, network, way)
-        elsewhere_at = ("127.0.0.1", 8501)
-        Elsewhere(world, network, elsewhere_at)
+        Service(world, network, failure)
+        new_address = ("127.0.0.1", 8501)
+        NewService(world, network, new_address)
         machine = network.join(scheduler.new_loop("proxy"))
         raw = settings_json()
-        raw["discovery"] = "subscribe" if asked else "automatic"
+        raw["discovery"] = "subscribe" if balancer_subscribes else "automatic"
         settings = read_settings(raw)
         directory = EndpointDirectory()
         upstream = UpstreamPool(settings.limits, (), 1000.0, 100)
 
         async def main() -> float:
             engine = Engine(settings, seed, directory, upstream)
-            engine.discovery = discovery = Discovery(AT, asked, directory, engine.notify_endpoints)
+            engine.discovery = discovery = Discovery(
+                DISCOVERY_ADDRESS, balancer_subscribes, directory, engine.notify_endpoints
+            )
             engine.start()
             discovery.start()
             while not directory.usable():
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.1 + away_s)
             moved_s = scheduler.time()
-            discovery.move(elsewhere_at)
+            discovery.move(new_address)
             while directory.entries["a"].state is not EndpointState.DRAINING:
                 await asyncio.sleep(0.01)
-                assert scheduler.time() < moved_s + 60.0, "it never heard"
-            heard_s = scheduler.time() - moved_s
+                assert scheduler.time() < moved_s + 60.0, "the change never became known"
+            delay_s = scheduler.time() - moved_s
             discovery.stop()
-            return heard_s
+            return delay_s
 
         return scheduler.run(machine, main(), 1000.0)
 
 
-@pytest.mark.parametrize("asked", [True, False], ids=["asked", "pushed"])
-@pytest.mark.parametrize("way", WAYS)
-def test_after_a_move_the_new_list_is_known_in_time_whatever_the_old_service_did(
-    way: str, asked: bool
-) -> None:
-    # Whatever the old watch, a call to it or the wait for the next one was at.
+@pytest.mark.parametrize("balancer_subscribes", [True, False], ids=["asked", "pushed"])
+@pytest.mark.parametrize("failure", FAILURES)
+def test_list_of_a_new_service_is_known_in_time_after_a_move(failure: str, balancer_subscribes: bool) -> None:
+    # The move happens at any stage of the old watch, of a call to it, or of a retry delay.
     late = [
-        (0.57 * step, heard_s)
+        (0.57 * step, delay_s)
         for step in range(16)
-        if (heard_s := moved_after_s(way, asked, 0.57 * step, step)) > MOVED_S
+        if (delay_s := move_delay_s(failure, balancer_subscribes, 0.57 * step, step)) > MOVE_LIMIT_S
     ]
     assert not late
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -1,4 +1,4 @@
-"""The hosts' side over loopback sockets: reuse, outcomes, and what is certain about them."""
+"""The endpoint side over loopback sockets: reuse of connections, outcomes, and limits."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     Proxy,
     ReceivedRequest,
     entry,
-    http,
+    http_response,
     proxy,
     run,
     settings_json,
@@ -37,36 +37,36 @@
     return ClientRequest(b"POST", b"/c/1", headers, b"x", now_ms(), "c", expires_ms)
 
 
-def upstream(
-    drain_grace_ms: float = 1000.0, connect_timeout_ms: float = 250.0, most: int = 10
+def make_pool(
+    drain_grace_ms: float = 1000.0, connect_timeout_ms: float = 250.0, connection_limit: int = 10
 ) -> UpstreamPool:
     settings = read_settings(settings_json(connect_timeout_ms=connect_timeout_ms))
-    return UpstreamPool(settings.limits, settings.report_fields, drain_grace_ms, most)
+    return UpstreamPool(settings.limits, settings.report_fields, drain_grace_ms, connection_limit)
 
 
 def descriptors() -> int:
     return len(os.listdir(Path("/proc/self/fd")))
 
 
-async def one(up: UpstreamPool, name: str, timeout_ms: float = 5000.0) -> AttemptResult:
-    """One attempt, to its end."""
+async def run_attempt(pool: UpstreamPool, name: str, timeout_ms: float = 5000.0) -> AttemptResult:
+    """Run one attempt to its end."""
     ended: list[AttemptResult] = []
-    assert up.start_attempt(request(), name, timeout_ms, ended.append) is not None
+    assert pool.start_attempt(request(), name, timeout_ms, ended.append) is not None
     await until(lambda: bool(ended))
     return ended[0]
 
 
 async def attempt_at(host: Host, timeout_ms: float = 5000.0) -> AttemptResult:
-    up = upstream()
-    up.update_endpoint(host.name, ("127.0.0.1", (await host.start()).port), None, True)
+    pool = make_pool()
+    pool.update_endpoint(host.name, ("127.0.0.1", (await host.start()).port), None, True)
     try:
-        return await one(up, host.name, timeout_ms)
+        return await run_attempt(pool, host.name, timeout_ms)
     finally:
         host.stop()
 
 
 def test_idle_connections_are_reused() -> None:
-    # Each request used to open one: keep-alive was asked of the parser after it had forgotten.
+    # Each request opened a connection: the parser's keep-alive flag was read after the parser had reset it.
     async def test() -> None:
         host = Host("h")
         async with proxy(host) as p:
@@ -79,9 +79,9 @@
     run(test())
 
 
-def test_connection_close_of_a_host_is_honoured() -> None:
-    async def closing(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        writer.write(http(200, b"x", Connection="close"))
+def test_connection_close_of_an_endpoint_is_honoured() -> None:
+    async def closing(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writer.write(http_response(200, b"x", Connection="close"))
 
     async def test() -> None:
         host = Host("h", closing)
@@ -98,28 +98,28 @@
 @pytest.mark.parametrize(
     ("reply", "outcome"),
     [
-        (http(200, b"ok"), Outcome.OK),
-        (http(500), Outcome.ERROR),
-        (http(503, X_Never_Ran="1"), Outcome.REJECTED),
-        (http(504, X_Never_Ran="1"), Outcome.REJECTED),
-        (http(503), Outcome.ERROR),  # it does not say that it never ran
-        (http(503, X_Never_Ran="0"), Outcome.ERROR),
-        (http(500, X_Never_Ran="1"), Outcome.ERROR),
-        (http(204), Outcome.ERROR),
+        (http_response(200, b"ok"), Outcome.OK),
+        (http_response(500), Outcome.ERROR),
+        (http_response(503, X_Never_Ran="1"), Outcome.REJECTED),
+        (http_response(504, X_Never_Ran="1"), Outcome.REJECTED),
+        (http_response(503), Outcome.ERROR),  # without the never-ran mark
+        (http_response(503, X_Never_Ran="0"), Outcome.ERROR),
+        (http_response(500, X_Never_Ran="1"), Outcome.ERROR),
+        (http_response(204), Outcome.ERROR),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", Outcome.RESET),
         (b"HTTP/1.1 200 OK\r\n\r\nto the end of the stream", Outcome.RESET),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", Outcome.ERROR),
         (b"no HTTP at all\r\n\r\n", Outcome.ERROR),
         (b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok", Outcome.ERROR),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", Outcome.ERROR),
-        (http(200, b"x" * (64 * 1024 + 1)), Outcome.ERROR),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + http(200, b"ok"), Outcome.OK),
+        (http_response(200, b"x" * (64 * 1024 + 1)), Outcome.ERROR),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + http_response(200, b"ok"), Outcome.OK),
         (b"", Outcome.RESET),
     ],
 )
 def test_outcomes_of_answers(reply: bytes, outcome: Outcome) -> None:
-    # A cut or malformed answer is never served; a 503 counts as unseen only if it says so.
-    async def answer(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    # A truncated or malformed response is never served; a 503 is a rejection only with the never-ran mark.
+    async def answer(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(reply)
         writer.close()
 
@@ -127,24 +127,26 @@
         ended = await attempt_at(Host("h", answer))
         assert ended.outcome is outcome
         if outcome is Outcome.OK:
-            assert ended.answer is not None
-            assert ended.answer.body == b"ok"
+            assert ended.response is not None
+            assert ended.response.body == b"ok"
 
     run(test())
 
 
-@pytest.mark.parametrize("later", [False, True])
-@pytest.mark.parametrize("surplus", [http(200, b"ok"), http(200, b"no"), b"\x8d\xa8noise\r\n\r\n", b"H"])
-def test_whole_answer_is_served_whatever_follows_it(surplus: bytes, later: bool) -> None:
-    # The parser's error at what followed threw the good answer away; what follows is nobody's answer.
-    async def answer(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        body = got.headers["x-trace-id"].encode()
-        if later:
-            writer.write(http(200, body))
+@pytest.mark.parametrize("sent_later", [False, True])
+@pytest.mark.parametrize(
+    "extra_bytes", [http_response(200, b"ok"), http_response(200, b"no"), b"\x8d\xa8noise\r\n\r\n", b"H"]
+)
+def test_complete_response_is_served_despite_bytes_after_it(extra_bytes: bytes, sent_later: bool) -> None:
+    # A parser error in the bytes after a complete response discarded the response.
+    async def answer(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        body = received.headers["x-trace-id"].encode()
+        if sent_later:
+            writer.write(http_response(200, body))
             await until(lambda: any(e.idle for e in entries()))
-            writer.write(surplus)
+            writer.write(extra_bytes)
         else:
-            writer.write(http(200, body) + surplus)
+            writer.write(http_response(200, body) + extra_bytes)
 
     proxies: list[Proxy] = []
 
@@ -169,14 +171,14 @@
     ("start", "piece"),
     [
         (b"HTTP/1.1 200 OK\r\n", b"X-Pad: pppp\r\n"),
-        (b"HTTP/1.1 200 OK\r\nX-Pad: ", b"p" * 1024),  # the parser holds it back: no callback sees it
+        (b"HTTP/1.1 200 OK\r\nX-Pad: ", b"p" * 1024),  # the parser buffers it, so no callback sees it
         (b"", b"HTTP/1.1 102 Processing\r\n\r\n"),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", b""),  # said at once, not waited for
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", b""),  # rejected at once
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"400\r\n" + b"x" * 1024 + b"\r\n"),
     ],
 )
-def test_answer_without_an_end_is_given_up(start: bytes, piece: bytes) -> None:
-    async def endless(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+def test_endless_response_is_aborted(start: bytes, piece: bytes) -> None:
+    async def endless(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(start)
         while piece:
             writer.write(piece)
@@ -191,8 +193,8 @@
 
 
 @pytest.mark.parametrize("value", ["nan", "inf", "-1", "1e999", "seven", "\xff"])
-def test_unusable_load_report_is_none_and_the_answer_is_served(value: str) -> None:
-    async def answer(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+def test_invalid_load_report_is_ignored(value: str) -> None:
+    async def answer(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         report = f"TEXT inflight={value}, queue=2, latency_ms=1"
         writer.write(b"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: " + report.encode("latin-1"))
         writer.write(b"\r\nContent-Length: 0\r\n\r\n")
@@ -204,10 +206,10 @@
     run(test())
 
 
-def test_load_reports_come_in_the_settings_order() -> None:
-    async def answer(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+def test_load_report_is_in_the_order_of_the_settings() -> None:
+    async def answer(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         report = "TEXT latency_ms=14.5, inflight=7, util=0.6, queue=2"
-        writer.write(http(200, b"", Endpoint_Load_Metrics=report))
+        writer.write(http_response(200, b"", Endpoint_Load_Metrics=report))
 
     async def test() -> None:
         assert (await attempt_at(Host("h", answer))).report == (7.0, 2.0, 14.5)
@@ -219,23 +221,23 @@
     async def test() -> None:
         host = await Host("h").start()
         host.stop()
-        up = upstream()
-        up.update_endpoint("h", ("127.0.0.1", host.port), None, True)
-        assert (await one(up, "h")).outcome is Outcome.CONNECT_FAILED
+        pool = make_pool()
+        pool.update_endpoint("h", ("127.0.0.1", host.port), None, True)
+        assert (await run_attempt(pool, "h")).outcome is Outcome.CONNECT_FAILED
 
     run(test())
 
 
-def test_silent_host_times_out_and_its_connection_is_closed() -> None:
-    # An answer that comes later must not be taken for that of the next request.
-    async def silent(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+def test_silent_endpoint_times_out_and_its_connection_is_closed() -> None:
+    # A late response must not be read as the response of the next request.
+    async def silent(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         pass
 
     async def test() -> None:
         host = await Host("h", silent).start()
-        up = upstream()
-        up.update_endpoint("h", ("127.0.0.1", host.port), None, True)
-        assert (await one(up, "h", timeout_ms=50.0)).outcome is Outcome.TIMEOUT
+        pool = make_pool()
+        pool.update_endpoint("h", ("127.0.0.1", host.port), None, True)
+        assert (await run_attempt(pool, "h", timeout_ms=50.0)).outcome is Outcome.TIMEOUT
         await until(lambda: host.open == 0)
         host.stop()
 
@@ -243,7 +245,7 @@
 
 
 def full_backlog() -> tuple[object, list[object], int]:
-    """A listener that takes no more: further connects hang."""
+    """Return a listener with a full backlog, on which further connects hang, and its port."""
     import socket
 
     listener = socket.socket()
@@ -261,17 +263,17 @@
 
 @pytest.mark.parametrize("ending", ["connect timeout", "attempt timeout", "cancel"])
 def test_hanging_dial_leaves_nothing_behind(ending: str) -> None:
-    # A dial under way when its attempt ends must neither leak its descriptor nor send later; and what
-    # never went out is known not to have run, whichever limit ended it.
+    # A dial in progress when its attempt ends must neither leak its descriptor nor send later. The request
+    # was never sent, so it is known not to have run, whichever limit ended it.
     async def test() -> None:
         _listener, _fillers, port = full_backlog()
-        up = upstream(connect_timeout_ms=100.0 if ending == "connect timeout" else 600_000.0)
-        up.update_endpoint("h", ("127.0.0.1", port), None, True)
+        pool = make_pool(connect_timeout_ms=100.0 if ending == "connect timeout" else 600_000.0)
+        pool.update_endpoint("h", ("127.0.0.1", port), None, True)
         await asyncio.sleep(0)
         before = descriptors()
         ended: list[AttemptResult] = []
         timeout_ms = 100.0 if ending == "attempt timeout" else 600_000.0
-        attempt = up.start_attempt(request(), "h", timeout_ms, ended.append)
+        attempt = pool.start_attempt(request(), "h", timeout_ms, ended.append)
         assert attempt is not None
         assert attempt.dial is not None
         await until(lambda: descriptors() > before or bool(ended))
@@ -279,7 +281,7 @@
             attempt.cancel()
         await until(lambda: bool(ended) and attempt.dial is not None and attempt.dial.done())
         await until(lambda: descriptors() == before)
-        assert up.open_connections == 0
+        assert pool.open_connections == 0
         expected = Outcome.CANCELLED if ending == "cancel" else Outcome.CONNECT_FAILED
         assert ended[0].outcome is expected
 
@@ -287,8 +289,8 @@
 
 
 def test_stale_idle_connection_is_not_written_to() -> None:
-    # A request written to a connection that the host has given up ends as a reset, which for an unsafe
-    # request is a failure. What tells of it is in the socket before the loop has read it.
+    # A request on a connection that the endpoint has abandoned is reset, which fails an unsafe request.
+    # The kernel knows of it before the loop has read it.
     async def test() -> None:
         host = Host("h")
         async with proxy(host) as p:
@@ -298,14 +300,13 @@
             assert idle.reusable()
             ended: list[AttemptResult] = []
             os.write(host.writers[0].get_extra_info("socket").fileno(), b"never asked for")
-            attempt = p.upstream.start_attempt(
-                request(), "h", 5000.0, ended.append
-            )  # in the same turn of the loop
+            # In the same loop iteration.
+            attempt = p.upstream.start_attempt(request(), "h", 5000.0, ended.append)
             assert attempt is not None
             assert attempt.dial is not None
             await until(lambda: bool(ended))
             assert ended[0].outcome is Outcome.OK
-            assert [got.connection for got in host.received] == [0, 1]
+            assert [received.connection for received in host.received] == [0, 1]
             client.close()
 
     run(test())
@@ -315,8 +316,8 @@
     return p.upstream.endpoints[name].idle
 
 
-def test_old_idle_connections_are_retired() -> None:
-    # The host closes them at the stated time; a request that crosses that is reset.
+def test_idle_connections_are_closed_before_the_endpoint_does() -> None:
+    # The endpoint closes idle connections after the configured time, and resets a request at that moment.
     async def test() -> None:
         host = Host("h")
         async with proxy(host, settings=settings_json(conn_idle_ms=100.0)) as p:
@@ -330,8 +331,8 @@
     run(test())
 
 
-def test_restarted_host_gets_new_connections() -> None:
-    # Another start time: what was open to the old process is dead, whatever the socket says.
+def test_restarted_endpoint_gets_new_connections() -> None:
+    # Another start time: connections to the old process are dead, even if the sockets look open.
     async def test() -> None:
         host = Host("h")
         async with proxy(host) as p:
@@ -346,7 +347,7 @@
     run(test())
 
 
-def test_moved_host_is_met_at_its_new_address() -> None:
+def test_moved_endpoint_is_reached_at_its_new_address() -> None:
     async def test() -> None:
         old, new = Host("h"), await Host("h").start()
         async with proxy(old) as p:
@@ -362,15 +363,15 @@
 
 
 @pytest.mark.parametrize(("grace_ms", "starts"), [(0.0, False), (60_000.0, True)])
-def test_drain_told_during_the_dial(grace_ms: float, starts: bool) -> None:
-    # The send would start after the drain was told: past the grace it must not, within it may.
+def test_drain_during_the_dial(grace_ms: float, starts: bool) -> None:
+    # The send would start after the drain was notified: allowed within the grace, not after it.
     async def test() -> None:
         host = await Host("h").start()
-        up = upstream(drain_grace_ms=grace_ms)
-        up.update_endpoint("h", ("127.0.0.1", host.port), None, True)
+        pool = make_pool(drain_grace_ms=grace_ms)
+        pool.update_endpoint("h", ("127.0.0.1", host.port), None, True)
         ended: list[AttemptResult] = []
-        up.start_attempt(request(), "h", 5000.0, ended.append)
-        up.update_endpoint("h", ("127.0.0.1", host.port), None, False)
+        pool.start_attempt(request(), "h", 5000.0, ended.append)
+        pool.update_endpoint("h", ("127.0.0.1", host.port), None, False)
         await until(lambda: bool(ended))
         assert ended[0].outcome is (Outcome.OK if starts else Outcome.NOT_SENT)
         assert len(host.received) == starts
@@ -379,41 +380,41 @@
     run(test())
 
 
-def test_descriptors_are_bounded() -> None:
-    async def silent(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+def test_upstream_connections_are_bounded() -> None:
+    async def silent(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         pass
 
     async def test() -> None:
         host = await Host("h", silent).start()
-        up = upstream(most=3)
-        up.update_endpoint("h", ("127.0.0.1", host.port), None, True)
+        pool = make_pool(connection_limit=3)
+        pool.update_endpoint("h", ("127.0.0.1", host.port), None, True)
         ended: list[AttemptResult] = []
-        attempts = [up.start_attempt(request(), "h", 10_000.0, ended.append) for _ in range(5)]
+        attempts = [pool.start_attempt(request(), "h", 10_000.0, ended.append) for _ in range(5)]
         await until(lambda: len(host.received) == 3 and len(ended) == 2)
         assert {e.outcome for e in ended} == {Outcome.CONNECT_FAILED}
         for attempt in attempts:
             assert attempt is not None
             attempt.cancel()
-        await until(lambda: up.open_connections == 0)
+        await until(lambda: pool.open_connections == 0)
         host.stop()
 
     run(test())
 
 
 @pytest.mark.parametrize("make_loop", [asyncio.new_event_loop, uvloop.new_event_loop])
-def test_at_the_bound_the_longest_idle_connection_makes_room(
+def test_at_the_limit_the_longest_idle_connection_is_closed(
     make_loop: Callable[[], asyncio.AbstractEventLoop],
 ) -> None:
-    # Each dial at the bound used to close an idle connection and fail all the same: the descriptor is free a
-    # turn of the loop later.
+    # Each dial at the limit closed an idle connection and failed nevertheless, as the descriptor is free only
+    # one loop iteration later.
     async def test() -> None:
         hosts = [await Host(f"h{n}").start() for n in range(5)]
-        up = upstream(most=2)
+        pool = make_pool(connection_limit=2)
         for host in hosts:
-            up.update_endpoint(host.name, ("127.0.0.1", host.port), None, True)
+            pool.update_endpoint(host.name, ("127.0.0.1", host.port), None, True)
         for host in hosts + hosts:
-            assert (await one(up, host.name)).outcome is Outcome.OK
-            assert up.open_connections <= 2
+            assert (await run_attempt(pool, host.name)).outcome is Outcome.OK
+            assert pool.open_connections <= 2
         assert [host.connections for host in hosts] == [2] * 5
         await until(lambda: [host.open for host in hosts] == [0, 0, 0, 1, 1])
         for host in hosts:
@@ -423,36 +424,36 @@
         runner.run(asyncio.wait_for(test(), 20.0))
 
 
-def test_dials_that_come_together_at_the_bound_close_one_idle_connection_each() -> None:
+def test_concurrent_dials_at_the_limit_close_one_idle_connection_each() -> None:
     async def test() -> None:
         hosts = [await Host(f"h{n}").start() for n in range(6)]
-        up = upstream(most=3)
+        pool = make_pool(connection_limit=3)
         for host in hosts:
-            up.update_endpoint(host.name, ("127.0.0.1", host.port), None, True)
+            pool.update_endpoint(host.name, ("127.0.0.1", host.port), None, True)
         for host in hosts[:3]:
-            assert (await one(up, host.name)).outcome is Outcome.OK
+            assert (await run_attempt(pool, host.name)).outcome is Outcome.OK
         ended: list[AttemptResult] = []
         for host in hosts[3:]:
-            up.start_attempt(request(), host.name, 5000.0, ended.append)
+            pool.start_attempt(request(), host.name, 5000.0, ended.append)
         await until(lambda: len(ended) == 3)
         assert [each.outcome for each in ended] == [Outcome.OK] * 3
-        assert up.open_connections == 3
+        assert pool.open_connections == 3
         for host in hosts:
             host.stop()
 
     run(test())
 
 
-def test_keyed_request_is_repeated_by_the_balancer_alone() -> None:
-    # One attempt for each send of the balancer's: nothing below it sends again by itself.
+def test_only_the_balancer_retries_a_keyed_request() -> None:
+    # Each send action starts one attempt; no lower layer retries by itself.
     first: list[str] = []
 
-    async def once_broken(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def once_broken(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         first.append(host.name)
         if len(first) == 1:
             writer.transport.abort()
         else:
-            writer.write(http(200, b"second"))
+            writer.write(http_response(200, b"second"))
 
     async def test() -> None:
         hosts = Host("h", once_broken), Host("g", once_broken)
@@ -465,8 +466,8 @@
     run(test())
 
 
-def test_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() -> None:
-    async def broken(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+def test_unsafe_request_that_may_have_run_is_neither_retried_nor_rejected() -> None:
+    async def broken(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
     async def test() -> None:
--- a/tests/test_noise.py
+++ b/tests/test_noise.py
@@ -17,7 +17,7 @@
     Client,
     Host,
     ReceivedRequest,
-    http,
+    http_response,
     proxy,
     run,
     settings_json,
@@ -26,7 +26,7 @@
 from tests.support.fixed_draws import fixed_draws
 
 GOOD_REQUEST = Client.encode_request(None, X_Trace_Id="00", body=b"form")  # type: ignore[arg-type]
-GOOD_ANSWER = http(200, b"body", Endpoint_Load_Metrics="TEXT inflight=1, queue=0, latency_ms=2")
+GOOD_ANSWER = http_response(200, b"body", Endpoint_Load_Metrics="TEXT inflight=1, queue=0, latency_ms=2")
 PIECES = [
     b"\r\n",
     b"\r\n\r\n",
@@ -98,7 +98,7 @@
 def test_whatever_a_host_answers(data: bytes, cuts: list[int], closes: bool) -> None:
     async def answer(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         if len(host.received) > 1:
-            writer.write(http(200, got.headers["x-trace-id"].encode()))
+            writer.write(http_response(200, got.headers["x-trace-id"].encode()))
             return
         for piece in split(data, cuts):
             writer.write(piece)
