--- a/tests/test_noise.py
+++ b/tests/test_noise.py
@@ -14,11 +14,21 @@
 from hypothesis import strategies as st
 
 from client_proxy.proxy import listener
-from tests.proxy.sockets import UNSAFE_CLASS, Client, Got, Host, facts, http, proxy, run, until
+from tests.proxy.sockets import (
+    UNSAFE_CLASS,
+    Client,
+    Host,
+    ReceivedRequest,
+    http_response,
+    proxy,
+    run,
+    settings_json,
+    until,
+)
 from tests.support.fixed_draws import fixed_draws
 
-VALID_REQUEST = Client.worded(None, X_Trace_Id="00", body=b"form")  # type: ignore[arg-type]
-VALID_ANSWER = http(200, b"body", Endpoint_Load_Metrics="TEXT inflight=1, queue=0, latency_ms=2")
+VALID_REQUEST = Client.encode_request(None, X_Trace_Id="00", body=b"form")  # type: ignore[arg-type]
+VALID_ANSWER = http_response(200, b"body", Endpoint_Load_Metrics="TEXT inflight=1, queue=0, latency_ms=2")
 FRAGMENTS = [
     b"\r\n",
     b"\r\n\r\n",
@@ -90,9 +100,9 @@
 @property_settings
 @given(mutated(VALID_ANSWER), CUTS, st.booleans())
 def test_any_bytes_from_a_server_leave_the_proxy_serving(data: bytes, cuts: list[int], closes: bool) -> None:
-    async def answer(host: Host, got: Got, writer: asyncio.StreamWriter) -> None:
-        if len(host.got) > 1:
-            writer.write(http(200, got.headers["x-trace-id"].encode()))
+    async def answer(host: Host, got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        if len(host.received) > 1:
+            writer.write(http_response(200, got.headers["x-trace-id"].encode()))
             return
         for piece in split(data, cuts):
             writer.write(piece)
@@ -102,14 +112,14 @@
 
     async def test() -> None:
         host = Host("h", answer)
-        short_objectives = facts()
+        short_objectives = settings_json()
         for cls in short_objectives["categories"]:
             cls["aim_ms"] = 400.0  # so that a request of 300 ms is not given up before it is sent
         async with proxy(host, settings=short_objectives) as p:
             client = await Client.connect(p.port)
             status, _, _ = await client.ask(UNSAFE_CLASS, expires_ms=300)
             assert status in (200, 502, 503, 504)
-            assert len(host.got) == 1
+            assert len(host.received) == 1
             # Bytes after a complete answer that arrive after the next request was sent may break its answer
             # too.
             for number in range(2):
