--- a/client_proxy/cli/commands.py
+++ b/client_proxy/cli/commands.py
@@ -103,7 +103,7 @@
 
 def _checked(path: Path) -> str:
     from client_proxy.cli.instance_file import load_instance_file
-    from client_proxy.config.fleet import read_fleet
+    from client_proxy.config.fleet import read_server_list
 
     content = path.read_bytes()
     if b"[[class]]" in content:
@@ -111,7 +111,7 @@
         table = instance_file.file.servers
         more = f", and {_checked(instance_file.beside(table.file))}" if table else ""
         return f"an instance with {len(instance_file.file.class_)} classes{more}"
-    fleet = read_fleet(content, str(path))
+    fleet = read_server_list(content, str(path))
     sealed = "sealed" if fleet.sealed else "not sealed"
     return f"{len(fleet.servers)} servers, {len(fleet.usable)} of them usable, {sealed}"
 
@@ -121,7 +121,7 @@
 @click.option("--version", "number", type=int, help="In place of one above the file's own.")
 def seal_command(file: Path, number: int | None) -> None:
     """Give FILE the next version and an end that shows that it is whole; replaced in one step."""
-    from client_proxy.config.fleet import read_fleet, seal
+    from client_proxy.config.fleet import read_server_list, seal
     from client_proxy.config.models import FleetFile, parse
 
     content = file.read_bytes()
@@ -130,7 +130,7 @@
         before = parse(FleetFile, content.decode(), str(file)).version
         number = 1 if before is None else before + 1
     sealed = seal(content, number)
-    read_fleet(sealed, str(file))
+    read_server_list(sealed, str(file))
     _replace(file, sealed)
     click.echo(f"{file}: version {number}")
 
@@ -149,10 +149,10 @@
 @click.argument("new", type=FILE)
 def diff(old: Path, new: Path) -> None:
     """What changes from OLD to NEW, server by server. Exit code 1 if anything does."""
-    from client_proxy.config.fleet import differences, read_fleet
+    from client_proxy.config.fleet import describe_server_changes, read_server_list
 
-    one, other = (read_fleet(path.read_bytes(), str(path)) for path in (old, new))
-    lines = differences(one, other)
+    one, other = (read_server_list(path.read_bytes(), str(path)) for path in (old, new))
+    lines = describe_server_changes(one, other)
     for line in lines:
         click.echo(line)
     sys.exit(1 if lines else 0)
@@ -221,9 +221,9 @@
 @config.command("reference")
 def reference() -> None:
     """Print the reference page of all keys, made from the models."""
-    from client_proxy.config.reference import page
+    from client_proxy.config.reference import reference_page
 
-    click.echo(page(), nl=False)
+    click.echo(reference_page(), nl=False)
 
 
 # A running instance
--- a/client_proxy/cli/control_commands.py
+++ b/client_proxy/cli/control_commands.py
@@ -83,8 +83,8 @@
         if self._source is not None:
             watcher = self._source.watcher
             answer["fleet"] = {
-                "digest": watcher.fleet.digest if watcher.fleet else None,
-                "version": watcher.fleet.version if watcher.fleet else None,
+                "digest": watcher.server_list.digest if watcher.server_list else None,
+                "version": watcher.server_list.version if watcher.server_list else None,
                 "from_kept": self._source.from_store,
                 "held_back": watcher.held_back.digest if watcher.held_back else None,
                 "changes": self._source.changes[-SHOWN_CHANGES:],
--- a/client_proxy/cli/policy.py
+++ b/client_proxy/cli/policy.py
@@ -82,13 +82,13 @@
 @click.option("--beside", type=FILE, help="Tell what changes from this one to FILE.")
 def policy_check(file: Path, beside: Path | None) -> None:
     """Look whether FILE is a policy, without asking anybody. Faults end it with their lines."""
-    from client_proxy.config.policy import changes, read_policy
+    from client_proxy.config.policy import describe_policy_changes, read_policy
 
     new = read_policy(file.read_bytes(), str(file))
     whole = f"{len(new.classes)} classes" if new.table is not None else "a list alone"
-    click.echo(f"{len(new.fleet.servers)} servers, {whole}, {new.fleet.digest}")
+    click.echo(f"{len(new.server_list.servers)} servers, {whole}, {new.server_list.digest}")
     if beside is not None:
-        for line in changes(read_policy(beside.read_bytes(), str(beside)), new):
+        for line in describe_policy_changes(read_policy(beside.read_bytes(), str(beside)), new):
             click.echo(line)
 
 
--- a/client_proxy/config/file_watcher.py
+++ b/client_proxy/config/file_watcher.py
@@ -15,7 +15,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from client_proxy.config.fleet import Fleet, digest_of, read_fleet
+from client_proxy.config.fleet import ServerList, digest_of, read_server_list
 from client_proxy.toml_table import TomlError
 
 MAX_REPORTED = 64  # contents that were rejected and need not be reported again
@@ -35,14 +35,14 @@
 class Accepted:
     """This version is active from now on."""
 
-    fleet: Fleet
+    server_list: ServerList
 
 
 @dataclass(frozen=True, slots=True)
 class HeldBack:
     """The version is valid; beside the active one it looks like a mistake, and waits for `force`."""
 
-    fleet: Fleet
+    server_list: ServerList
     reason: str
 
 
@@ -56,7 +56,7 @@
 WatchResult = Accepted | HeldBack | Rejected
 
 
-def suspicious_change(old: Fleet, new: Fleet, leaving_share: float) -> str:
+def suspicious_change(old: ServerList, new: ServerList, leaving_share: float) -> str:
     """Return why this change is probably a mistake; "": nothing speaks against it."""
     if not new.usable:
         return "no server would get any work: all are draining or of weight zero"
@@ -71,25 +71,25 @@
     """Judges what polls of one file find.
 
     Attributes:
-        fleet: The active version; None: there is none yet.
+        server_list: The active version; None: there is none yet.
         held_back: A valid version that waits for `force`.
     """
 
     def __init__(self, settings: WatchSettings, name: str) -> None:
         self.settings, self.name = settings, name
-        self.fleet: Fleet | None = None
-        self.held_back: Fleet | None = None
+        self.server_list: ServerList | None = None
+        self.held_back: ServerList | None = None
         self._held_back_since_ms = 0.0
         self._seen_digest = ""  # of what the last poll found
         self._seen_since_ms = 0.0  # since when
         self._judged_digest = ""  # "": nothing has been judged yet
         self._reported: deque[str] = deque(maxlen=MAX_REPORTED)
 
-    def start(self, fleet: Fleet) -> None:
+    def start(self, fleet: ServerList) -> None:
         """Make a version active that was accepted before."""
-        self.fleet = fleet
+        self.server_list = fleet
 
-    def polled(self, now_ms: float, content: bytes | None) -> list[WatchResult]:
+    def handle_poll(self, now_ms: float, content: bytes | None) -> list[WatchResult]:
         """Judge what the file held; None: there was none, or it changed while it was read."""
         results = self._after_hold(now_ms)
         if content is None:
@@ -101,7 +101,7 @@
         if digest == self._judged_digest:
             return results
         try:
-            fleet = read_fleet(content, self.name)
+            fleet = read_server_list(content, self.name)
         except TomlError as error:
             if now_ms - self._seen_since_ms >= self.settings.settle_ms:
                 self._judged_digest = digest
@@ -112,7 +112,7 @@
         self._judged_digest = digest
         return results + self._judge(now_ms, fleet)
 
-    def polled_unchanged(self, now_ms: float) -> list[WatchResult]:
+    def handle_unchanged_poll(self, now_ms: float) -> list[WatchResult]:
         """Take note that the file has surely not changed since the last poll."""
         return self._after_hold(now_ms)
 
@@ -122,10 +122,10 @@
         self._reported.append(digest)
         return [Rejected(reason)]
 
-    def _judge(self, now_ms: float, fleet: Fleet) -> list[WatchResult]:
+    def _judge(self, now_ms: float, fleet: ServerList) -> list[WatchResult]:
         if self.settings.sealed and not fleet.sealed:
             return self._reject(fleet.digest, f"{self.name}: end: missing: only sealed files are taken")
-        old = self.fleet
+        old = self.server_list
         if old is None:
             if not fleet.usable:
                 return self._reject(fleet.digest, f"{self.name}: no server would get any work")
@@ -145,8 +145,8 @@
             return [HeldBack(fleet, reason)]
         return self._accept(fleet)
 
-    def _accept(self, fleet: Fleet) -> list[WatchResult]:
-        self.fleet, self.held_back = fleet, None
+    def _accept(self, fleet: ServerList) -> list[WatchResult]:
+        self.server_list, self.held_back = fleet, None
         return [Accepted(fleet)]
 
     def _after_hold(self, now_ms: float) -> list[WatchResult]:
--- a/client_proxy/config/fleet.py
+++ b/client_proxy/config/fleet.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class ServerList:
     """A version of the servers that is valid by itself. `sealed`: its last line was seen to be its last."""
 
     digest: str
@@ -37,21 +37,21 @@
     return blake2b(content, digest_size=16).hexdigest()
 
 
-def read_fleet(content: bytes, name: str) -> Fleet:
+def read_server_list(content: bytes, name: str) -> ServerList:
     """Read a file of servers. Raises TomlError with a line for each fault."""
-    return read_as(FleetFile, content, name).fleet
+    return read_server_file(FleetFile, content, name).fleet
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedFile(Generic[ModelT]):
     """A file of servers that may state more."""
 
-    fleet: Fleet  # its servers
+    fleet: ServerList  # its servers
     file: ModelT  # all of it
     text: str
 
 
-def read_as(model: type[ModelT], content: bytes, name: str) -> ParsedFile[ModelT]:
+def read_server_file(model: type[ModelT], content: bytes, name: str) -> ParsedFile[ModelT]:
     """Read a file of servers that may state more. Raises TomlError with a line for each fault."""
     if len(content) > MAX_BYTES:
         raise TomlError(f"{name}: more than {MAX_BYTES} bytes")
@@ -72,7 +72,7 @@
     faults += _end_faults(file, content, name)
     if faults:
         raise TomlError("\n".join(faults))
-    fleet = Fleet(digest_of(content), file.version, file.end is not None, file.server, content)
+    fleet = ServerList(digest_of(content), file.version, file.end is not None, file.server, content)
     return ParsedFile(fleet, file, text)
 
 
@@ -106,7 +106,7 @@
     return body + b'[end]\ndigest = "%s"\nversion = %d\n' % (digest_of(body).encode(), version)
 
 
-def differences(old: Fleet, new: Fleet) -> list[str]:
+def describe_server_changes(old: ServerList, new: ServerList) -> list[str]:
     """Return line by line what changes from one version to the other."""
     before, after = ({server.name: server for server in fleet.servers} for fleet in (old, new))
     lines = [f"- {name} ({before[name].address})" for name in sorted(before.keys() - after.keys())]
--- a/client_proxy/config/policy.py
+++ b/client_proxy/config/policy.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, replace
 
-from client_proxy.config.fleet import Fleet, differences, read_as
+from client_proxy.config.fleet import ServerList, describe_server_changes, read_server_file
 from client_proxy.config.models import PolicyFile, PolicyTable, RequestClassEntry, RolloutTable
 from client_proxy.operators import FEATURES, NOTHING, Operators, read_features
 from client_proxy.toml_table import File, TomlError
@@ -17,7 +17,7 @@
     """One version of what the fleet decides by.
 
     Attributes:
-        fleet: The servers.
+        server_list: The servers.
         table: The policy; None: the file is a list of servers alone, and classes and features are those of
             the instance's own files.
         classes: The request classes.
@@ -26,7 +26,7 @@
         candidate: The policy that is rolled out.
     """
 
-    fleet: Fleet
+    server_list: ServerList
     table: PolicyTable | None
     classes: tuple[RequestClassEntry, ...]
     operators: Operators
@@ -42,7 +42,7 @@
 
 def read_policy(content: bytes, name: str) -> Policy:
     """Read a policy file. Raises TomlError with a line for each fault."""
-    parsed = read_as(PolicyFile, content, name)
+    parsed = read_server_file(PolicyFile, content, name)
     file = parsed.file
     faults = []
     if file.policy is None:
@@ -83,9 +83,9 @@
         )
 
 
-def changes(old: Policy, new: Policy) -> list[str]:
+def describe_policy_changes(old: Policy, new: Policy) -> list[str]:
     """Return line by line what changes from one policy to the other."""
-    lines = differences(old.fleet, new.fleet)
+    lines = describe_server_changes(old.server_list, new.server_list)
     before, after = ({entry.name: entry.model_dump() for entry in policy.classes} for policy in (old, new))
     lines += [f"- class {name}" for name in sorted(before.keys() - after.keys())]
     lines += [f"+ class {name}" for name in sorted(after.keys() - before.keys())]
--- a/client_proxy/config/reference.py
+++ b/client_proxy/config/reference.py
@@ -41,7 +41,7 @@
     return f"`{str(value).lower() if isinstance(value, bool) else value}`"
 
 
-def page() -> str:
+def reference_page() -> str:
     """Return the page, in Markdown."""
     lines = [
         "# Reference of the configuration",
--- a/client_proxy/config/source.py
+++ b/client_proxy/config/source.py
@@ -27,7 +27,7 @@
     WatchResult,
     WatchSettings,
 )
-from client_proxy.config.fleet import MAX_BYTES, Fleet
+from client_proxy.config.fleet import MAX_BYTES, ServerList
 from client_proxy.config.version_store import VersionStore
 from client_proxy.endpoint_directory import EndpointDirectory
 
@@ -137,7 +137,7 @@
         now = now_ms()
         for result in self._read_changes(now):
             self._handle(result)
-        if first and self.watcher.fleet is None:
+        if first and self.watcher.server_list is None:
             self._restore_from_store()
         self._timer = asyncio.get_running_loop().call_later(self._poll_interval_s, self._poll)
 
@@ -148,16 +148,16 @@
         except OSError:
             stamp = None
         if stamp is not None and stamp == self._stamp and now > self._settled_ms:
-            return self.watcher.polled_unchanged(now)
+            return self.watcher.handle_unchanged_poll(now)
         found = read_consistent(self._path)
         if found is None:
             self._stamp = None
-            return self.watcher.polled(now, None)
+            return self.watcher.handle_poll(now, None)
         read_stamp, content = found
         if read_stamp != self._stamp:
             self._stamp = read_stamp
             self._settled_ms = now + self.watcher.settings.settle_ms + COARSE_CLOCK_MS
-        return self.watcher.polled(now, content)
+        return self.watcher.handle_poll(now, content)
 
     def _restore_from_store(self) -> None:
         """Go on with the last good version.
@@ -198,7 +198,7 @@
         log.info("%s", text)
         self.changes = [*self.changes[1 - MAX_CHANGES :], text]
 
-    def _save(self, fleet: Fleet) -> None:
+    def _save(self, fleet: ServerList) -> None:
         if self._version_store is None:
             return
         try:
@@ -206,11 +206,11 @@
         except OSError as error:
             log.warning("the version can't be kept: %s", error)
 
-    def _apply(self, fleet: Fleet) -> None:
+    def _apply(self, fleet: ServerList) -> None:
         begun = bool(self._directory.entries)
         self._notify(self._directory.apply(self._message(fleet, begun)))
 
-    def _message(self, fleet: Fleet, begun: bool) -> dict[str, Any]:
+    def _message(self, fleet: ServerList, begun: bool) -> dict[str, Any]:
         """Return the version as a complete list of discovery.
 
         A server that is new in the file has most likely just started, and has to warm up.
@@ -242,6 +242,6 @@
         return {"index": self.accepted, "snapshot": True, "endpoints": endpoints}
 
 
-def _describe(fleet: Fleet) -> str:
+def _describe(fleet: ServerList) -> str:
     version = "" if fleet.version is None else f"version {fleet.version}, "
     return f"{version}{len(fleet.servers)} servers, {fleet.digest[:8]}"
--- a/client_proxy/config/version_store.py
+++ b/client_proxy/config/version_store.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from client_proxy.config.fleet import MAX_BYTES, Fleet, digest_of, read_fleet
+from client_proxy.config.fleet import MAX_BYTES, ServerList, digest_of, read_server_list
 from client_proxy.toml_table import TomlError
 
 _NAME = re.compile(r"^(\d{8})-([0-9a-f]{32})\.toml$")
@@ -117,14 +117,14 @@
         found = [(_NAME.match(name), name) for name in self._files.names()]
         return sorted(Version(int(match[1]), match[2]) for match, _ in found if match)
 
-    def read(self, version: Version) -> Fleet:
+    def read(self, version: Version) -> ServerList:
         """Read a version. Raises OSError, or TomlError if it is torn or damaged."""
         content = self._files.read(version.name)
         if digest_of(content) != version.digest:
             raise TomlError(f"{version.name}: its content is not what was kept")
-        return read_fleet(content, version.name)
+        return read_server_list(content, version.name)
 
-    def last_good(self) -> tuple[Version, Fleet] | None:
+    def last_good(self) -> tuple[Version, ServerList] | None:
         """Return the newest version that can be used, if any. Nothing is raised."""
         try:
             versions = self.versions()
--- a/client_proxy/consensus/policy_source.py
+++ b/client_proxy/consensus/policy_source.py
@@ -169,10 +169,10 @@
 
     def _activate(self, version: Version, content: bytes) -> None:
         whole = self._validator.policy_of(version, content)
-        had_fleet = self.watcher.fleet is not None
+        had_fleet = self.watcher.server_list is not None
         self.rollout.activate_version(version.number, whole, content)
         policy = whole.for_member(self.node.member)
-        fleet = policy.fleet
+        fleet = policy.server_list
         self.watcher.start(fleet)
         self._active_since_s = time.monotonic()
         classes = "" if policy.table is None else f", {len(policy.classes)} classes"
--- a/client_proxy/consensus/policy_validator.py
+++ b/client_proxy/consensus/policy_validator.py
@@ -56,7 +56,7 @@
         return read_policy(content, f"version {version.number}")
 
     def _find_obstacle(self, policy: Policy, version: Version) -> str:
-        if not policy.fleet.usable:
+        if not policy.server_list.usable:
             return "no server would get any work"
         members = {acceptor_id.member for acceptor_id in version.acceptors}
         unknown = sorted(members - self._acceptor_members)
@@ -67,19 +67,19 @@
         return ""
 
     def _find_likely_error(self, policy: Policy) -> str:
-        running = self._watcher.fleet
+        running = self._watcher.server_list
         if running is None:
             return ""
-        reason = suspicious_change(running, policy.for_member(self._member).fleet, MAX_LEAVING_SHARE)
+        reason = suspicious_change(running, policy.for_member(self._member).server_list, MAX_LEAVING_SHARE)
         if not reason and policy.candidate is not None:
-            reason = suspicious_change(running, policy.candidate.fleet, MAX_LEAVING_SHARE)
+            reason = suspicious_change(running, policy.candidate.server_list, MAX_LEAVING_SHARE)
         return reason
 
 
 def has_same_effect(left: Policy, right: Policy) -> bool:
     """Tells whether an instance acts alike by both policies."""
-    return (left.fleet.servers, left.table, left.classes, left.operators) == (
-        right.fleet.servers,
+    return (left.server_list.servers, left.table, left.classes, left.operators) == (
+        right.server_list.servers,
         right.table,
         right.classes,
         right.operators,
--- a/client_proxy/warm_state/restore.py
+++ b/client_proxy/warm_state/restore.py
@@ -12,7 +12,7 @@
 from client_proxy.balancer.retry_budget import RETRY_BUDGET_CAPACITY
 from client_proxy.warm_state.pools import pools_by_name
 from client_proxy.warm_state.snapshot import (
-    FORM,
+    SNAPSHOT_FORMAT,
     EndpointClassSnapshot,
     EndpointSnapshot,
     Snapshot,
@@ -39,7 +39,7 @@
         How many of its servers are in the snapshot.
     """
     share = confidence(age_ms)
-    if snapshot.form != FORM or share <= 0.0:
+    if snapshot.form != SNAPSHOT_FORMAT or share <= 0.0:
         return 0
     _restore_retry_budget(balancer, snapshot, share)
     _restore_attempt_window(balancer, snapshot, age_ms)
--- a/client_proxy/warm_state/snapshot.py
+++ b/client_proxy/warm_state/snapshot.py
@@ -11,7 +11,7 @@
 
 from client_proxy.balancer.retry_budget import RETRY_BUDGET_CAPACITY
 
-FORM = 1  # raised when an earlier program could not read a snapshot correctly
+SNAPSHOT_FORMAT = 1  # raised when an earlier program could not read a snapshot correctly
 HALF_LIFE_MS = 30_000.0  # of the confidence in a snapshot
 MAX_AGE_MS = 600_000.0  # of a snapshot that is used at all
 NEVER_MS = -1.0  # in the place of a span, for what never happened
@@ -115,7 +115,7 @@
     default.
 
     Attributes:
-        form: As `FORM`.
+        form: As `SNAPSHOT_FORMAT`.
         tokens: Left in the retry budget.
         taken_ms: Since each request in the window of the attempt limit.
         made_ms: Since each further attempt in that window.
@@ -127,7 +127,7 @@
         errors: Share of errors over all servers.
     """
 
-    form: int = FORM
+    form: int = SNAPSHOT_FORMAT
     tokens: float = RETRY_BUDGET_CAPACITY
     taken_ms: tuple[float, ...] = ()
     made_ms: tuple[float, ...] = ()
--- a/client_proxy/warm_state/snapshot_store.py
+++ b/client_proxy/warm_state/snapshot_store.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from client_proxy.warm_state.snapshot import FORM, MAX_AGE_MS, Snapshot
+from client_proxy.warm_state.snapshot import MAX_AGE_MS, SNAPSHOT_FORMAT, Snapshot
 
 DIGEST_BYTES = 16
 MAX_CONTENT_BYTES = 16 * 1024 * 1024  # of a file, its digest included
@@ -76,7 +76,7 @@
         from the future.
     """
     stored = _read(path)
-    if stored is None or stored.snapshot.form != FORM:
+    if stored is None or stored.snapshot.form != SNAPSHOT_FORMAT:
         return None
     age_ms = now_unix_ms - stored.captured_unix_ms
     if not -CLOCK_TOLERANCE_MS <= age_ms < MAX_AGE_MS:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -25,7 +25,7 @@
 from client_proxy.cli.control import CALLERS, Control, ask
 from client_proxy.cli.errors import CommandError
 from client_proxy.cli.logs import MOST_EVENTS, Limit, set_up
-from client_proxy.config.fleet import read_fleet
+from client_proxy.config.fleet import read_server_list
 from client_proxy.config.models import LogTable
 from client_proxy.routing.weights import Weights
 from tests.config.test_fleet import sealed, text
@@ -84,7 +84,7 @@
     assert call("config", "seal", str(servers))[0] == 0
     first = servers.read_bytes()
     kept.save(first)
-    assert read_fleet(first, "f").version == 1
+    assert read_server_list(first, "f").version == 1
     servers.write_bytes(first.replace(b"8002", b"8099"))  # an edit under the old seal
     assert call("config", "check", str(servers))[0] == 2
     assert call("config", "seal", str(servers))[0] == 0
@@ -101,9 +101,9 @@
         "number 2  version 2  servers 3",
     ]
     assert call("config", "rollback", str(servers), str(tmp_path / "kept"))[0] == 0
-    back = read_fleet(servers.read_bytes(), "f")
+    back = read_server_list(servers.read_bytes(), "f")
     assert back.version == 3
-    assert back.servers == read_fleet(first, "f").servers
+    assert back.servers == read_server_list(first, "f").servers
     assert call("config", "rollback", str(servers), str(tmp_path / "kept"), "--to", "9")[0] == 2
 
 
--- a/tests/compatibility/test_policy_files.py
+++ b/tests/compatibility/test_policy_files.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from client_proxy.cli.commands import main
-from client_proxy.config.fleet import Fleet, digest_of, read_fleet, seal
+from client_proxy.config.fleet import ServerList, digest_of, read_server_list, seal
 from client_proxy.config.models import (
     End,
     PolicyFile,
@@ -79,14 +79,14 @@
 
 def test_a_sealed_file_is_read_from_its_sample() -> None:
     stored = sample("fleet-sealed.toml")
-    assert read_fleet(stored, "x") == Fleet(digest_of(stored), 7, True, (MINIMAL_SERVER,), stored)
+    assert read_server_list(stored, "x") == ServerList(digest_of(stored), 7, True, (MINIMAL_SERVER,), stored)
     with pytest.raises(TomlError):
-        read_fleet(stored.replace(b"10.0.0.1", b"10.0.0.2"), "x")
+        read_server_list(stored.replace(b"10.0.0.1", b"10.0.0.2"), "x")
 
 
 def test_a_minimal_file_of_servers() -> None:
     assert sample("store-body.bin") == BODY
-    assert read_fleet(BODY, "x") == Fleet(BODY_DIGEST, None, False, (MINIMAL_SERVER,), BODY)
+    assert read_server_list(BODY, "x") == ServerList(BODY_DIGEST, None, False, (MINIMAL_SERVER,), BODY)
 
 
 def test_every_key_of_a_policy_is_read_from_its_sample() -> None:
@@ -95,8 +95,8 @@
     assert file.version == 9
     assert file.end == End(version=9, digest="")
     policy = read_policy(stored, "x")
-    assert policy.fleet.servers == (FULL_SERVER,)
-    assert policy.fleet.version == 9
+    assert policy.server_list.servers == (FULL_SERVER,)
+    assert policy.server_list.version == 9
     assert policy.table == FULL_POLICY
     assert policy.classes == (FULL_CLASS,)
     operators = policy.operators
@@ -141,9 +141,9 @@
 
 def test_the_defaults_of_what_a_policy_leaves_out() -> None:
     policy = read_policy(sample("policy-minimal.toml"), "x")
-    assert policy.fleet.servers == (MINIMAL_SERVER,)
-    assert policy.fleet.version is None
-    assert not policy.fleet.sealed
+    assert policy.server_list.servers == (MINIMAL_SERVER,)
+    assert policy.server_list.version is None
+    assert not policy.server_list.sealed
     assert policy.table == PolicyTable(
         program="0", attempts=3, cold_s=7.5, cold_share=0.3, idle_s=60.0, retry_after=True
     )
@@ -187,7 +187,7 @@
     policy = read_policy(stored, "x")
     assert policy.rollout == table
     assert policy.candidate is not None
-    assert policy.candidate.fleet.content == NEW_POLICY.encode()
+    assert policy.candidate.server_list.content == NEW_POLICY.encode()
 
 
 def test_the_defaults_of_what_a_rollout_leaves_out() -> None:
--- a/tests/config/test_fleet.py
+++ b/tests/config/test_fleet.py
@@ -17,9 +17,9 @@
     WatchSettings,
     suspicious_change,
 )
-from client_proxy.config.fleet import Fleet, differences, digest_of, read_fleet, seal
+from client_proxy.config.fleet import ServerList, describe_server_changes, digest_of, read_server_list, seal
 from client_proxy.config.models import FleetFile, ServeFile, parse
-from client_proxy.config.reference import page
+from client_proxy.config.reference import reference_page
 from client_proxy.toml_table import TomlError
 from tests.support.fixed_draws import fixed_draws
 
@@ -40,16 +40,16 @@
 
 def faults(content: bytes) -> list[str]:
     with pytest.raises(TomlError) as caught:
-        read_fleet(content, "f")
+        read_server_list(content, "f")
     return str(caught.value).splitlines()
 
 
 def test_a_sealed_file_is_read_back() -> None:
-    fleet = read_fleet(sealed(7), "f")
+    fleet = read_server_list(sealed(7), "f")
     assert fleet.sealed
     assert fleet.version == 7
     assert len(fleet.usable) == 5
-    again = read_fleet(seal(fleet.content, 8), "f")
+    again = read_server_list(seal(fleet.content, 8), "f")
     assert again.version == 8
     assert again.servers == fleet.servers
 
@@ -85,18 +85,18 @@
 
 
 def test_ten_thousand_servers_are_taken() -> None:
-    assert len(read_fleet(sealed(1, 10_000), "f").servers) == 10_000
+    assert len(read_server_list(sealed(1, 10_000), "f").servers) == 10_000
 
 
 def test_a_sealed_file_cut_anywhere_or_written_over_in_place_is_never_taken() -> None:
     old, new = sealed(9), sealed(10, 6)
     for size in range(len(new)):
         with pytest.raises(TomlError):
-            read_fleet(new[:size], "f")
+            read_server_list(new[:size], "f")
         mixed = new[:size] + old[size:]  # an editor that writes in place, byte by byte
         if mixed not in (old, new):
             with pytest.raises(TomlError):
-                read_fleet(mixed, "f")
+                read_server_list(mixed, "f")
 
 
 def test_an_unsealed_file_cut_short_may_look_whole_and_is_not_believed_before_it_settles() -> None:
@@ -104,26 +104,26 @@
     usable = 0
     running = FileWatcher(WatchSettings(settle_ms=1000.0), "f")
     for step in range(len(whole) + 1):  # a byte every 100 ms
-        news = running.polled(100.0 * step, whole[:step])
+        news = running.handle_poll(100.0 * step, whole[:step])
         assert not any(isinstance(each, Accepted) for each in news)
         try:
-            read_fleet(whole[:step], "f")
+            read_server_list(whole[:step], "f")
             usable += 1
         except TomlError:
             pass
     assert usable > 20  # each of these, taken at once, would have been half a fleet or a wrong port
     ended = 100.0 * (len(whole) + 1)
-    assert not running.polled(ended, whole)
-    (taken,) = running.polled(ended + 1000.0, whole)
+    assert not running.handle_poll(ended, whole)
+    (taken,) = running.handle_poll(ended + 1000.0, whole)
     assert isinstance(taken, Accepted)
-    assert len(taken.fleet.servers) == 5
+    assert len(taken.server_list.servers) == 5
 
 
 # Beside the one that runs
 
 
-def fleet(count: int = 5, first: int = 0, weight: float = 1.0) -> Fleet:
-    return read_fleet(text(count, first, weight), "f")
+def fleet(count: int = 5, first: int = 0, weight: float = 1.0) -> ServerList:
+    return read_server_list(text(count, first, weight), "f")
 
 
 def test_what_looks_like_a_slip() -> None:
@@ -136,30 +136,30 @@
 
 def start(**stated: float) -> FileWatcher:
     running = FileWatcher(WatchSettings(settle_ms=0.0, **stated), "f")  # type: ignore[arg-type]
-    assert isinstance(running.polled(0.0, sealed(5, 6))[0], Accepted)
+    assert isinstance(running.handle_poll(0.0, sealed(5, 6))[0], Accepted)
     return running
 
 
 def test_a_slip_is_held_until_an_operator_says_so() -> None:
     running = start()
-    (held,) = running.polled(1.0, sealed(6, 2))
+    (held,) = running.handle_poll(1.0, sealed(6, 2))
     assert isinstance(held, HeldBack)
-    assert running.fleet is not None
-    assert len(running.fleet.servers) == 6
-    assert not running.polled(1e9, sealed(6, 2))
+    assert running.server_list is not None
+    assert len(running.server_list.servers) == 6
+    assert not running.handle_poll(1e9, sealed(6, 2))
     (taken,) = running.force()
     assert isinstance(taken, Accepted)
-    assert len(running.fleet.servers) == 2
+    assert len(running.server_list.servers) == 2
     assert not running.force()
 
 
 def test_a_slip_is_taken_after_the_stated_time_but_never_one_without_a_usable_server() -> None:
     running = start(hold_ms=1000.0)
-    assert isinstance(running.polled(1.0, sealed(6, 2))[0], HeldBack)
-    assert not running.polled(900.0, sealed(6, 2))
-    assert isinstance(running.polled(1001.0, sealed(6, 2))[0], Accepted)
-    assert isinstance(running.polled(1002.0, seal(text(6, weight=0.0), 7))[0], HeldBack)
-    assert not running.polled(1e9, seal(text(6, weight=0.0), 7))
+    assert isinstance(running.handle_poll(1.0, sealed(6, 2))[0], HeldBack)
+    assert not running.handle_poll(900.0, sealed(6, 2))
+    assert isinstance(running.handle_poll(1001.0, sealed(6, 2))[0], Accepted)
+    assert isinstance(running.handle_poll(1002.0, seal(text(6, weight=0.0), 7))[0], HeldBack)
+    assert not running.handle_poll(1e9, seal(text(6, weight=0.0), 7))
 
 
 def test_versions_go_up_and_one_refusal_is_told_once() -> None:
@@ -169,20 +169,20 @@
         (sealed(5, 7), "version 5 after version 5"),
         (text(6), "no version, after version 5"),
     ):
-        (refused,) = running.polled(1.0, content)
+        (refused,) = running.handle_poll(1.0, content)
         assert isinstance(refused, Rejected)
         assert why in refused.reason
-        running.polled(2.0, sealed(5, 6))
-        assert not running.polled(3.0, content)
-    assert isinstance(running.polled(4.0, sealed(6, 6))[0], Accepted)
+        running.handle_poll(2.0, sealed(5, 6))
+        assert not running.handle_poll(3.0, content)
+    assert isinstance(running.handle_poll(4.0, sealed(6, 6))[0], Accepted)
 
 
 def test_only_sealed_files_where_that_is_stated() -> None:
     running = FileWatcher(WatchSettings(settle_ms=0.0, sealed=True), "f")
-    (refused,) = running.polled(0.0, text(3))
+    (refused,) = running.handle_poll(0.0, text(3))
     assert isinstance(refused, Rejected)
     assert "only sealed" in refused.reason
-    assert isinstance(running.polled(1.0, sealed(1))[0], Accepted)
+    assert isinstance(running.handle_poll(1.0, sealed(1))[0], Accepted)
 
 
 @fixed_draws("whatever_editors_do_the_running_set_is_one_whole_version_in_order")
@@ -204,21 +204,21 @@
                 )
             )
             now += data.draw(st.floats(0.0, 500.0))
-            news = running.polled(now, data.draw(st.sampled_from([file, file, None])))
-            taken += [digests[each.fleet.digest] for each in news if isinstance(each, Accepted)]
+            news = running.handle_poll(now, data.draw(st.sampled_from([file, file, None])))
+            taken += [digests[each.server_list.digest] for each in news if isinstance(each, Accepted)]
         file = new
         now += 300.0
-        news = running.polled(now, file)
-        taken += [digests[each.fleet.digest] for each in news if isinstance(each, Accepted)]
-        assert running.fleet is not None
-        assert running.fleet.content == new
+        news = running.handle_poll(now, file)
+        taken += [digests[each.server_list.digest] for each in news if isinstance(each, Accepted)]
+        assert running.server_list is not None
+        assert running.server_list.content == new
     assert taken == sorted(set(taken))
     assert taken[-1] == 7
 
 
 def test_differences_are_told_by_server() -> None:
     old, new = fleet(3), fleet(3, first=1, weight=2.0)
-    assert differences(old, new) == [
+    assert describe_server_changes(old, new) == [
         "- s0 (127.0.0.1:8000)",
         "+ s3 (127.0.0.1:8003)",
         "  s1: weight 1.0 -> 2.0",
@@ -231,7 +231,7 @@
 
 def test_the_reference_page_is_the_models_own() -> None:
     kept = (ROOT / "docs" / "operators" / "configuration-reference.md").read_text()
-    assert kept == page(), "run: python -m client_proxy.cli config reference"
+    assert kept == reference_page(), "run: python -m client_proxy.cli config reference"
 
 
 def test_the_example_is_usable_and_schemas_can_be_written() -> None:
--- a/tests/config/test_watched.py
+++ b/tests/config/test_watched.py
@@ -63,7 +63,7 @@
 
 
 def runs(made: Instance, version: int) -> bool:
-    fleet = made.source.watcher.fleet
+    fleet = made.source.watcher.server_list
     return fleet is not None and fleet.version == version
 
 
@@ -164,7 +164,7 @@
                 path.write_bytes(bad)
             async with serving(path, kept=kept) as made:
                 assert made.source.from_store
-                assert made.source.watcher.fleet.version == 4
+                assert made.source.watcher.server_list.version == 4
                 client = await Client.connect(made.port)
                 status, _, _ = await client.ask(KEYED_CLASS)
                 assert status == 200
--- a/tests/scale_costs/test_costs.py
+++ b/tests/scale_costs/test_costs.py
@@ -46,7 +46,7 @@
     found = lists.measure(10)
     check(lists.COST, found)
     assert found["policy_bytes"] == len(lists.policy_file(10))
-    assert len(read_policy(lists.policy_file(10), "made").fleet.servers) == 10
+    assert len(read_policy(lists.policy_file(10), "made").server_list.servers) == 10
 
 
 def test_signatures() -> None:
--- a/tests/warm_state/test_restore.py
+++ b/tests/warm_state/test_restore.py
@@ -14,7 +14,7 @@
 from client_proxy.balancer.retry_budget import RETRY_BUDGET_CAPACITY
 from client_proxy.warm_state.capture import capture_snapshot
 from client_proxy.warm_state.restore import restore_snapshot
-from client_proxy.warm_state.snapshot import FORM, HALF_LIFE_MS, MAX_AGE_MS, Snapshot, confidence
+from client_proxy.warm_state.snapshot import HALF_LIFE_MS, MAX_AGE_MS, SNAPSHOT_FORMAT, Snapshot, confidence
 from tests.driver import SETTINGS, Driver, endpoint, full
 from tests.warm_state.builders import SLOW_SERVER, make_cold_balancer, make_warm_driver
 
@@ -71,7 +71,7 @@
 
 def test_a_snapshot_of_another_form_is_not_restored() -> None:
     driver = make_warm_driver()
-    other_form = replace(capture_snapshot(driver.balancer), form=FORM + 1)
+    other_form = replace(capture_snapshot(driver.balancer), form=SNAPSHOT_FORMAT + 1)
     assert restore_snapshot(make_cold_balancer(driver), other_form) == 0
 
 
--- a/tests/warm_state/test_snapshot_store.py
+++ b/tests/warm_state/test_snapshot_store.py
@@ -10,7 +10,7 @@
 
 from client_proxy.fault_injection import scenario_runner
 from client_proxy.fault_injection.plan import AimTable, FaultTable, FleetTable, LoadTable, Plan
-from client_proxy.warm_state.snapshot import FORM, MAX_AGE_MS, Snapshot
+from client_proxy.warm_state.snapshot import MAX_AGE_MS, SNAPSHOT_FORMAT, Snapshot
 from client_proxy.warm_state.snapshot_store import (
     LoadedSnapshot,
     StoredSnapshot,
@@ -43,7 +43,7 @@
         assert load_snapshot(path, 4000.0) is None
     path.write_bytes(whole[:-1] + bytes([whole[-1] ^ 1]))
     assert load_snapshot(path, 4000.0) is None
-    save_snapshot(path, StoredSnapshot(1000.0, replace(SNAPSHOT, form=FORM + 1)))
+    save_snapshot(path, StoredSnapshot(1000.0, replace(SNAPSHOT, form=SNAPSHOT_FORMAT + 1)))
     assert load_snapshot(path, 4000.0) is None
 
 
