--- a/client_proxy/rollout/__init__.py
+++ b/client_proxy/rollout/__init__.py
@@ -1,6 +1,6 @@
 """Staged rollout of a new policy: canary analysis, controller and executor.
 
-The old and the new policy are in effect side by side, at different instances. A stage in which the new one
-does worse ends the rollout. Only `rollout_executor` has a timer; all other modules are free of I/O and take
-the time from their caller.
+During a rollout the canary group of instances uses the new policy and all other instances use the old one.
+If the canary group fails more requests in a stage, the rollout is rolled back. Only `rollout_executor` has a
+timer; the other modules do no I/O and get the current time from their caller.
 """
--- a/client_proxy/rollout/canary_analysis.py
+++ b/client_proxy/rollout/canary_analysis.py
@@ -1,13 +1,14 @@
-"""Sequential comparison of two groups of instances: does the canary group serve its requests worse?
+"""Sequential test of whether the canary group of instances fails more requests than the control group.
 
-The result may be looked at after every window without raising the chance of a false alarm.
+The verdict can be read after every window without raising the probability of a false alarm.
 
-Both groups are observed in the same seconds, so that a fault of servers, which affects both, cancels out, and
-each is compared with its own past, as instances differ in zone and traffic. A window gives the difference of
-the two failure rates; windows are combined by inverse-variance weighting. The bound is the normal mixture of
-Robbins ("Statistical methods related to the law of the iterated logarithm", 1970; Howard et al.,
-"Time-uniform, nonparametric, nonasymptotic confidence sequences", 2021): with probability 1 - alpha the true
-difference lies within it at every look. Several classes and stages share one alpha evenly.
+Both groups are observed in the same seconds, so that a server fault, which affects both, cancels out. The
+difference between the groups before the rollout (the baseline) is subtracted, as instances differ in zone and
+traffic. Each window gives the difference of the two failure rates; windows are combined by inverse-variance
+weighting. The confidence bound is the normal mixture of Robbins ("Statistical methods related to the law of
+the iterated logarithm", 1970; Howard et al., "Time-uniform, nonparametric, nonasymptotic confidence
+sequences", 2021): with probability 1 - alpha the true difference is within the bound after every window. The
+comparisons of all classes and stages share one alpha evenly.
 """
 
 from __future__ import annotations
@@ -18,30 +19,32 @@
 from math import log, sqrt
 
 PSEUDO_FAILURES = 0.5
-"""Added to failures, and to successes: a group without failures is not known to have a rate of zero."""
+"""Requests added to both failures and successes: no observed failure does not mean a failure rate of zero."""
 MIN_WINDOW_REQUESTS = 5
-"""Requests that each group needs in a window; fewer are kept for the next one."""
+"""Requests that each group needs in a window; smaller windows are merged into the next one."""
 TIGHTEST_DIFFERENCE = 0.02
-"""The difference of failure rates at which the confidence bound is tightest."""
+"""Difference of failure rates, as a share from 0 to 1, for which the confidence bound is optimized."""
 MAX_DISPERSION = 25.0
+"""Upper limit of `Baseline.dispersion`."""
 PRIOR_REQUESTS = 100.0
-"""Requests that the baseline counts for in the failure rate of each window."""
+"""Requests with the failure rate of the baseline that are added when a window's failure rate is estimated."""
 MIN_DISPERSION_WINDOWS = 5
-"""More windows than this are needed before the spread of the baseline's windows is used."""
+"""Windows; the dispersion of a baseline is estimated only if it has more windows than this."""
 FAILURE_RATE_WITHOUT_BASELINE = 0.01
+"""Share of requests; assumed if the baseline has no usable window."""
 
 
 class Verdict(Enum):
-    """What can be said of the canary group."""
+    """Result of comparing the canary group with the control group."""
 
     UNDECIDED = "undecided"
     WORSE = "worse"
-    NOT_WORSE = "not worse"  # surely within the tolerated difference
+    NOT_WORSE = "not worse"  # the confidence interval ends below the tolerated difference
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeCount:
-    """Requests of one group in a window, and how many of them were not served in time."""
+    """Number of requests of one group in a window, and of those that were not served in time."""
 
     requests: int
     failures: int
@@ -51,7 +54,7 @@
 
     @property
     def failure_rate(self) -> float:
-        """The share of failures, smoothed by `PSEUDO_FAILURES`."""
+        """Share of failed requests, smoothed by `PSEUDO_FAILURES`."""
         return (self.failures + PSEUDO_FAILURES) / (self.requests + 2 * PSEUDO_FAILURES)
 
 
@@ -60,20 +63,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfidenceInterval:
-    """The bounds of the difference of two failure rates."""
+    """Lower and upper bound of the difference of two failure rates."""
 
     low: float
     high: float
 
 
 class Baseline:
-    """How the two groups compared before the change, in windows that both have.
+    """Comparison of the two groups before the rollout, while both used the old version.
+
+    Windows in which a group has fewer than `MIN_WINDOW_REQUESTS` requests are ignored.
 
     Attributes:
-        failure_rate: of both groups together.
-        difference: by how much the canary group's failure rate was higher already.
-        variance: of `difference`.
-        dispersion: the windows' variance as a multiple of what independent requests would give; 1 at least.
+        failure_rate: Failure rate of both groups together.
+        difference: Failure rate of the canary group minus that of the control group.
+        variance: Variance of `difference`.
+        dispersion: Variance between windows as a multiple of that of independent requests; at least 1.
     """
 
     def __init__(self, windows: Sequence[tuple[OutcomeCount, OutcomeCount]] = ()) -> None:
@@ -108,12 +113,12 @@
 
 
 def rate_difference(canary: OutcomeCount, control: OutcomeCount) -> float:
-    """Return by how much the canary group's failure rate is the higher one."""
+    """Return the failure rate of the canary group minus that of the control group."""
     return canary.failures / canary.requests - control.failures / control.requests
 
 
 def difference_variance(failure_rate: float, canary: OutcomeCount, control: OutcomeCount) -> float:
-    """Return the variance of `rate_difference` if requests fail independently, all at `failure_rate`."""
+    """Return the variance of `rate_difference` if requests fail independently with `failure_rate`."""
     return failure_rate * (1 - failure_rate) * (1 / canary.requests + 1 / control.requests)
 
 
@@ -123,9 +128,9 @@
     """Return half the width of the confidence sequence.
 
     Args:
-        information: 1 over the variance of the mean.
-        alpha: the chance that the true value is ever outside.
-        tightest_difference: the difference for which the width is optimized.
+        information: 1 divided by the variance of the estimated difference.
+        alpha: Probability that the true value is outside the bound after any window.
+        tightest_difference: Difference of failure rates for which the width is minimized.
     """
     if information <= 0:
         return float("inf")
@@ -134,7 +139,16 @@
 
 
 class Comparison:
-    """The comparison of the two groups for one class, over one stage."""
+    """Comparison of the two groups for one request class during one stage.
+
+    Args:
+        alpha: Probability of a false alarm of this comparison.
+        baseline: How the groups compared before the rollout.
+
+    Attributes:
+        information: 1 divided by the variance of `difference`, without the baseline's uncertainty.
+        canary_total: Outcomes of the canary group in all windows that were compared.
+    """
 
     def __init__(self, alpha: float, baseline: Baseline) -> None:
         self._alpha, self._baseline = alpha, baseline
@@ -144,15 +158,15 @@
         self.canary_total = NO_OUTCOMES
 
     def add(self, canary: OutcomeCount, control: OutcomeCount) -> None:
-        """Add a window; windows with too few requests are joined with the next one."""
+        """Add a window; one with fewer than `MIN_WINDOW_REQUESTS` in a group is merged into the next one."""
         canary, control = self._pending_canary + canary, self._pending_control + control
         if canary.requests < MIN_WINDOW_REQUESTS or control.requests < MIN_WINDOW_REQUESTS:
             self._pending_canary, self._pending_control = canary, control
             return
         self._pending_canary, self._pending_control = NO_OUTCOMES, NO_OUTCOMES
         self.canary_total += canary
-        # The variance comes from both groups together and the baseline: a window in which one group had no
-        # failure at all is no more certain for that.
+        # The variance is estimated from both groups and the baseline. Estimated from a group without any
+        # failure it would be too small, and the window would get too much weight.
         requests = canary.requests + control.requests
         failures = canary.failures + control.failures
         failure_rate = min(
@@ -161,25 +175,29 @@
         )
         weight = 1 / (self._baseline.dispersion * difference_variance(failure_rate, canary, control))
         self.information += weight
-        # Without taking off the baseline's difference, an instance in a zone that is always a little worse
-        # would stop every rollout that begins with it.
+        # If the baseline's difference were not subtracted, an instance in a zone that always has slightly
+        # more failures would stop every rollout that begins with this instance.
         self._weighted_sum += weight * (rate_difference(canary, control) - self._baseline.difference)
 
     @property
     def difference(self) -> float:
-        """The estimate of by how much the canary group's failure rate rose against the control group's."""
+        """Estimate of how much more the canary group's failure rate rose than the control group's."""
         return self._weighted_sum / self.information if self.information else 0.0
 
     @property
     def bounds(self) -> ConfidenceInterval:
-        """The confidence interval of `difference`."""
+        """Confidence interval of `difference`."""
         radius = confidence_radius(self.information, self._alpha)
-        # The uncertainty of the baseline does not shrink with further windows.
+        # Further windows do not reduce the uncertainty of the baseline, so it is added separately.
         radius += sqrt(self._baseline.variance) * sqrt(-2.0 * log(self._alpha))
         return ConfidenceInterval(self.difference - radius, self.difference + radius)
 
     def verdict(self, tolerated_difference: float) -> Verdict:
-        """Return the verdict; up to `tolerated_difference` a version counts as good as the other one."""
+        """Return the verdict on the canary group so far.
+
+        Args:
+            tolerated_difference: Difference of failure rates up to which the versions count as equal.
+        """
         bounds = self.bounds
         if bounds.low > 0.0 and self.difference > tolerated_difference / 4:
             return Verdict.WORSE
--- a/client_proxy/rollout/errors.py
+++ b/client_proxy/rollout/errors.py
@@ -4,11 +4,11 @@
 
 
 class RolloutError(ValueError):
-    """An operator's order does not fit the state of the rollout."""
+    """An operator's command does not fit the state of the rollout."""
 
 
 class NoRolloutError(RolloutError):
-    """An order was given while no rollout is in progress."""
+    """A command for a rollout was given while none is in progress."""
 
 
 class RolloutInProgressError(RolloutError):
@@ -16,4 +16,4 @@
 
 
 class OrderNotApplicableError(RolloutError):
-    """The order does not apply in the phase that the rollout is in."""
+    """The command does not apply in the current phase of the rollout."""
--- a/client_proxy/rollout/file.py
+++ b/client_proxy/rollout/file.py
@@ -1,7 +1,8 @@
-"""The rollout's place in the agreed policy file.
+"""Reads and writes the `[rollout]` table of the agreed policy file.
 
-The file holds the old policy's text and behind it one table, `[rollout]`, with the new policy and the
-rollout's state. Values are encoded as JSON, whose strings, numbers and lists are valid TOML.
+During a rollout the file holds the text of the old policy, followed by one table, `[rollout]`, with the text
+of the new policy and the state of the rollout. Values are encoded as JSON, whose strings, numbers and lists
+are valid TOML.
 """
 
 from __future__ import annotations
@@ -17,9 +18,10 @@
 
 
 def without_rollout(text: str) -> str:
-    """Return the policy's text without its rollout and without the seal of a watched file.
+    """Return the text of a policy without its `[rollout]` table and without the seal of a watched file.
 
-    Nothing may follow a seal, so it and the version that it confirms have to go before a table is appended.
+    The seal is the `[end]` table with the version at the top that it confirms. No table may follow `[end]`,
+    so both are removed before a table can be appended.
     """
     tail = _ROLLOUT_HEADER.search(text) or _SEAL_HEADER.search(text)
     body = text[: tail.start()] if tail else text
@@ -27,7 +29,7 @@
 
 
 def with_rollout(text: str, table: RolloutTable) -> str:
-    """Return the policy's text with `table` as its rollout, in place of one that it had."""
+    """Return the text of a policy with `table` as its `[rollout]` table, which replaces an earlier one."""
     lines = ["[rollout]"]
     for key, value in table.model_dump(exclude_defaults=True).items():
         lines.append(f"{key} = {json.dumps(value, ensure_ascii=False)}")
--- a/client_proxy/rollout/outcome_counts.py
+++ b/client_proxy/rollout/outcome_counts.py
@@ -1,7 +1,7 @@
-"""Outcomes of requests as the instances report them, collected in windows of a second.
+"""Collects the outcomes of requests that the instances report, in windows of a second.
 
-Each instance reports what it has counted since its start, by class, so that a lost report costs nothing: the
-next one includes it. Kept are the last report of each member and a bounded number of windows.
+Each instance reports cumulative counts since its start, by class, so that the next report makes up for a lost
+one. The last report of each member and a bounded number of windows are kept.
 """
 
 from __future__ import annotations
@@ -12,22 +12,28 @@
 
 from client_proxy.rollout.canary_analysis import NO_OUTCOMES, OutcomeCount
 
-MAX_MEMBERS = 2000
-MAX_WINDOWS = 120
+MAX_MEMBERS = 2000  # members whose last report is kept
+MAX_WINDOWS = 120  # windows that are kept; the oldest is dropped first
 
 ALL_CLASSES = ""
-"""Stands for all classes together where a class's name is expected."""
+"""Class name that stands for all classes together."""
 
 ClassCounts = Mapping[str, tuple[int, int]]
-"""By class: requests that ended, and those of them that were not served in time. As it is on the wire."""
+"""By class name: requests that ended, and those of them not served in time. This is the wire format."""
 
 Window = Mapping[int, Mapping[str, OutcomeCount]]
-"""By member and class: the outcomes in one window."""
+"""Outcomes in one window, by member number and class name."""
 
 
 @dataclass(frozen=True, slots=True)
 class CumulativeCounts:
-    """What one instance has counted since its start under one version of the policy."""
+    """Counts of one instance since its start, under one version of the policy.
+
+    Attributes:
+        incarnation: Identifies the process of the instance.
+        version: Number of the policy version.
+        counts: Cumulative counts by class name.
+    """
 
     incarnation: int
     version: int
@@ -35,7 +41,12 @@
 
 
 class OutcomeCounts:
-    """Turns cumulative reports of members into counts for each window."""
+    """Converts the cumulative reports of members into counts of one window each.
+
+    Attributes:
+        windows: The last `MAX_WINDOWS` closed windows, the oldest first.
+        zones: Zone by member number.
+    """
 
     def __init__(self) -> None:
         self._last_reports: dict[int, CumulativeCounts] = {}
@@ -48,15 +59,15 @@
         return len(self._last_reports)
 
     def record(self, member: int, zone: str, report: CumulativeCounts) -> None:
-        """Add to the open window what came since the member's previous report."""
+        """Add the outcomes since the member's previous report to the open window."""
         previous = self._last_reports.pop(member, None)
         self._last_reports[member] = report
         self.zones[member] = zone
         if len(self._last_reports) > MAX_MEMBERS:
             oldest = next(iter(self._last_reports))
             del self._last_reports[oldest], self.zones[oldest]
-        # The first report of an incarnation may cover hours, or the seconds of a start. Without a previous
-        # report of the same incarnation and version there is no difference to count.
+        # The first report of an incarnation may cover hours, or only the seconds of a start. Counts are added
+        # only as the difference to a previous report of the same incarnation and version.
         if (
             previous is None
             or previous.incarnation != report.incarnation
@@ -74,20 +85,20 @@
                 member_counts[class_name] = member_counts.get(class_name, NO_OUTCOMES) + added
 
     def close_window(self) -> Window:
-        """End the open window, keep it in `windows` and return it."""
+        """Close the open window, append it to `windows` and return it."""
         window, self._open_window = self._open_window, {}
         self.windows.append(window)
         return window
 
 
 def group_total(window: Window, members: Collection[int], inside: bool, class_name: str) -> OutcomeCount:
-    """Return the outcomes of one group of members in a window.
+    """Return the summed outcomes of one group of members in a window.
 
     Args:
-        window: the window's counts.
-        members: the members of the canary group.
-        inside: whether the group is `members`, or all others.
-        class_name: the class to count, or `ALL_CLASSES`.
+        window: Counts of the window.
+        members: Members of the canary group.
+        inside: True: count `members`. False: count all other members.
+        class_name: Class to count, or `ALL_CLASSES`.
     """
     return total(
         count
--- a/client_proxy/rollout/rollout_controller.py
+++ b/client_proxy/rollout/rollout_controller.py
@@ -1,15 +1,16 @@
-"""The steps of a rollout: when a stage is over and what follows.
-
-The agreed policy file holds the whole state of a rollout: the stage, its members and its phase. A controller
-is created from that with each version, at every acceptor; each observes, and the first of those that are
-heard acts. A step is a change of the policy file, made from the version that the controller observed. So at
-most one step is decided, of two controllers or of one that was stopped in between.
-
-Some failures are not the new version's doing. While the control group, which still uses the old version,
-fails more than in its baseline as well, nothing is judged and nothing moves. If that began with the stage,
-the stage may overload servers for all: then all instances use the old version for some seconds (a probe). If
-the failures end by that, the stage begins once more, and if they come back, the version is at fault. If they
-do not end, nothing moves until they are over.
+"""Decides the steps of a rollout: when a stage ends and which state follows.
+
+The agreed policy file holds the whole state of a rollout: the stage, its members and its phase. For each
+version of the file every acceptor creates a controller from this state. All controllers observe the outcomes;
+only the acceptor with the lowest number among those that can be reached proposes the steps. A step is a
+change of the policy file, based on the version that the controller was created from. So at most one step is
+decided, even if two controllers propose, or one whose process was suspended meanwhile.
+
+Not every failure is caused by the new version. While the control group, which still uses the old version,
+fails more than in its baseline as well, windows are not compared and the stage does not change. If this began
+with the stage, the new version may overload the servers for all instances. Then all instances use the old
+version for some seconds (a probe). If the failures end during the probe, the stage is started again, and if
+they return, the version is rolled back. If they do not end, the rollout waits until they are over.
 """
 
 from __future__ import annotations
@@ -25,28 +26,29 @@
 from client_proxy.rollout.stages import stage_members
 
 DEGRADED_MARGIN = 0.05
-"""The control group is degraded if its failure rate is higher than its baseline by this, and"""
+"""Difference of failure rates; the control group is degraded if it exceeds its baseline by more than this."""
 DEGRADED_DEVIATIONS = 5.0
-"""by so many standard deviations."""
+"""Standard deviations by which the control group must exceed its baseline as well to count as degraded."""
 RECENT_WINDOWS = 5
+"""Windows from which the present failure rate of the control group is computed."""
 PROBE_WITHIN_S = 20.0
-"""A degradation that begins so soon after a stage may be caused by the stage."""
+"""Seconds; a degradation within this time after the start of a stage may be caused by the stage."""
 PROBE_S = 10.0
-"""If the stage caused the degradation, it ends within this after the step back."""
+"""Seconds after the start of a probe within which a degradation ends if the stage caused it."""
 NO_MEMBERS = frozenset[int]()
 
 
 class Phase(StrEnum):
-    """What a rollout is doing. The values are those in the agreed policy file."""
+    """Phase of a rollout. The values are those in the agreed policy file."""
 
     RUNNING = "running"
-    PROBING = "probing"  # all use the old version, to see whether the stage is at fault
+    PROBING = "probing"  # all instances use the old version, to test whether the stage causes failures
     AWAITING_OPERATOR = "asks"
     PAUSED = "paused"
 
 
 class UndecidedAction(StrEnum):
-    """What follows when a stage has lasted the longest and nothing can be said of it."""
+    """What happens if a stage is still undecided at its maximum duration."""
 
     ASK = "ask"
     GO_ON = "go-on"
@@ -57,17 +59,17 @@
     """The operator's plan of a rollout.
 
     Attributes:
-        name: of the rollout.
-        stage_shares: the share of all instances that each stage holds.
-        baseline_s: how long all instances are observed before the first stage.
-        warm_up_s: the first part of each stage, which is not judged.
-        min_stage_s: how long a stage is judged at least.
-        min_requests: requests of the canary group in a stage, at least.
-        max_stage_s: after this `when_undecided` decides.
-        tolerated_difference: of failure rates, up to which a version is as good as the other one.
-        alpha: the chance of a false alarm over all stages and classes.
-        when_undecided: what follows when nothing can be said.
-        confirmed_stages: stages that begin only when an operator confirms them.
+        name: Name of the rollout.
+        stage_shares: Share of all instances that use the new version, for each stage.
+        baseline_s: How long the baseline of all instances is recorded before the first stage.
+        warm_up_s: Length of the first part of each stage, whose windows are not compared.
+        min_stage_s: Minimum time for which windows of a stage are compared.
+        min_requests: Minimum number of requests of the canary group in a stage.
+        max_stage_s: Duration of a stage after which `when_undecided` applies.
+        tolerated_difference: Difference of failure rates up to which the versions count as equal.
+        alpha: Probability of a false alarm over all stages and classes.
+        when_undecided: What happens if a stage has no verdict after `max_stage_s`.
+        confirmed_stages: Stages that begin only after an operator has confirmed them.
     """
 
     name: str
@@ -88,11 +90,11 @@
     """The agreed state of a rollout.
 
     Attributes:
-        stage: 0 while all instances use the old version and the baseline is recorded.
-        members: the canary group.
-        phase: what the rollout is doing.
-        reason: why, for operators.
-        probes: how often a probe has cleared this stage.
+        stage: Number of the stage, from 1; 0 while all use the old version and the baseline is recorded.
+        members: Member numbers of the canary group.
+        phase: Phase of the rollout.
+        reason: Why the rollout is in this phase, for operators.
+        probes: Number of probes of this stage in which the failures ended.
     """
 
     stage: int = 0
@@ -104,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """The rollout's next state."""
+    """The rollout goes on with another state."""
 
     state: RolloutState
 
@@ -126,7 +128,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DifferenceEstimate:
-    """By how much the canary group's failure rate is higher, with its confidence bounds."""
+    """Estimated difference between the failure rates of the canary and the control group.
+
+    Attributes:
+        difference: Positive if the canary group fails more.
+        low: Lower confidence bound.
+        high: Upper confidence bound.
+        canary_requests: Requests of the canary group that were compared.
+    """
 
     difference: float
     low: float
@@ -136,22 +145,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerStatus:
-    """What operators see of a controller; `estimates` by class, `ALL_CLASSES` included."""
+    """State of a controller as operators see it.
+
+    Attributes:
+        control_degraded: The control group fails more than in its baseline; windows are not compared.
+        compared_s: How long windows of this stage have been compared.
+        estimates: By class name; those of all classes together under `ALL_CLASSES`.
+    """
 
     control_degraded: bool
-    judged_s: float
+    compared_s: float
     estimates: dict[str, DifferenceEstimate]
 
 
 class RolloutController:
-    """Decides the next step of a rollout from one state of it.
+    """Decides the next step of a rollout from one of its states.
 
     Args:
-        plan: the operator's plan.
-        state: the agreed state.
-        classes: names of the request classes, each of which is compared by itself as well.
-        now_s: when this state took effect here.
-        baseline_windows: windows of stage 0, in which all instances used the old version.
+        plan: The operator's plan.
+        state: The agreed state.
+        classes: Names of the request classes. Each is compared separately, and all together.
+        now_s: When this state took effect at this instance.
+        baseline_windows: Windows of stage 0, in which all instances used the old version.
+
+    Attributes:
+        control_degraded: The control group fails more than in its baseline.
+        without_control: All instances that report use the new version, so there is no control group.
     """
 
     def __init__(
@@ -164,7 +183,7 @@
     ) -> None:
         self.plan, self.state = plan, state
         self.control_degraded = False
-        self.without_control = False  # all instances use the new version
+        self.without_control = False
         self._started_s = now_s
         self._members = frozenset(state.members)
         self._baseline_windows = list(baseline_windows)
@@ -175,7 +194,7 @@
         )
         self._recent_control: deque[OutcomeCount] = deque(maxlen=RECENT_WINDOWS)
         self._healthy_since_s: float | None = now_s
-        self._judged_s = 0.0
+        self._compared_s = 0.0
 
     def _new_comparisons(self, classes: Sequence[str]) -> dict[str, Comparison]:
         comparisons = max(1, len(self.plan.stage_shares) * (len(classes) + 1))
@@ -197,28 +216,28 @@
     def observe(
         self, now_s: float, window: Window, duration_s: float, zones: Mapping[int, str]
     ) -> Action | None:
-        """Take in a window that has ended and return the step that follows, if any.
+        """Process a closed window and return the step to take, if any.
 
         Args:
-            now_s: the end of the window.
-            window: the outcomes in it.
-            duration_s: how long it lasted.
-            zones: the zones of the members that are heard at present.
+            now_s: End of the window.
+            window: Outcomes in the window.
+            duration_s: Length of the window.
+            zones: Zones of the members that report at present.
         """
         self._update_control_health(now_s, window)
         elapsed_s = now_s - self._started_s
         if self.state.phase is Phase.PROBING:
-            return self._after_probe(now_s, elapsed_s)
+            return self._step_after_probe(now_s, elapsed_s)
         if self.state.phase is not Phase.RUNNING:
             return None
         if self.state.stage == 0:
-            recorded = elapsed_s >= self.plan.baseline_s and not self.control_degraded
-            return self._next_stage(zones) if recorded else None
+            baseline_complete = elapsed_s >= self.plan.baseline_s and not self.control_degraded
+            return self._next_stage(zones) if baseline_complete else None
         if self.control_degraded:
-            return self._while_degraded(elapsed_s)
+            return self._step_while_degraded(elapsed_s)
         if elapsed_s >= self.plan.warm_up_s:
             self._compare(window, duration_s, zones)
-        return self._judge(elapsed_s, zones)
+        return self._evaluate_stage(elapsed_s, zones)
 
     def _update_control_health(self, now_s: float, window: Window) -> None:
         canary = self._members if self.state.phase is not Phase.PROBING else NO_MEMBERS
@@ -233,24 +252,24 @@
         recent = total(self._recent_control)
         if not recent.requests or not self._control_baseline.requests:
             return False
-        usual_rate = self._control_baseline.failure_rate
-        deviation = sqrt(usual_rate * (1 - usual_rate) / recent.requests)
+        baseline_rate = self._control_baseline.failure_rate
+        deviation = sqrt(baseline_rate * (1 - baseline_rate) / recent.requests)
         margin = max(DEGRADED_MARGIN, DEGRADED_DEVIATIONS * deviation)
-        return recent.failures / recent.requests > usual_rate + margin
+        return recent.failures / recent.requests > baseline_rate + margin
 
-    def _while_degraded(self, elapsed_s: float) -> Action | None:
-        """Probe if the degradation began with the stage; after the second time the version is at fault."""
-        observed = len(self._recent_control) == RECENT_WINDOWS
-        if elapsed_s > PROBE_WITHIN_S or not observed or self.state.stage <= 1:
+    def _step_while_degraded(self, elapsed_s: float) -> Action | None:
+        """Start a probe if the degradation began with the stage; if it returns after a probe, roll back."""
+        has_enough_windows = len(self._recent_control) == RECENT_WINDOWS
+        if elapsed_s > PROBE_WITHIN_S or not has_enough_windows or self.state.stage <= 1:
             return None
         if self.state.probes:
-            # Once may be chance: a rack may stop with the stage, and be back by the time of the probe.
-            why = "twice the others did worse with it as well, and not without it"
-            return Rollback(f"stage {self.state.stage}: {why}")
+            # Once may be a coincidence: a rack may fail when the stage begins and recover during the probe.
+            finding = "twice the others did worse with it as well, and not without it"
+            return Rollback(f"stage {self.state.stage}: {finding}")
         reason = f"the others do worse since stage {self.state.stage} began: all by the old one"
         return self._change_phase(Phase.PROBING, reason)
 
-    def _after_probe(self, now_s: float, elapsed_s: float) -> Action | None:
+    def _step_after_probe(self, now_s: float, elapsed_s: float) -> Action | None:
         deadline_s = PROBE_S + RECENT_WINDOWS
         healthy_since_s = self._healthy_since_s
         if (
@@ -265,8 +284,8 @@
         return None
 
     def _compare(self, window: Window, duration_s: float, zones: Mapping[int, str]) -> None:
-        self._judged_s += duration_s
-        # In a second in which nobody reported, no others are heard either: that is not the same as none left.
+        self._compared_s += duration_s
+        # Without any report in this window nothing is known about a control group.
         self.without_control = bool(zones) and zones.keys() <= self._members
         control_window = self._control_window(window)
         for class_name, comparison in self._comparisons.items():
@@ -276,34 +295,34 @@
             )
 
     def _control_window(self, window: Window) -> Window:
-        """Return the window that the canary group is compared with.
+        """Return the window with which the canary group is compared.
 
-        Without a control group that is one of its own baseline. A fault of servers does not cancel out then,
-        so that the rollout waits for an operator and is not rolled back.
+        Without a control group this is a window of the canary group's own baseline. Server faults do not
+        cancel out in this comparison, so the rollout then asks the operator and is not rolled back.
         """
         if self.without_control and self._baseline_windows:
             self._baseline_position += 1
             return self._baseline_windows[self._baseline_position % len(self._baseline_windows)]
         return window
 
-    def _judge(self, elapsed_s: float, zones: Mapping[int, str]) -> Action | None:
+    def _evaluate_stage(self, elapsed_s: float, zones: Mapping[int, str]) -> Action | None:
         verdicts = {
             class_name: comparison.verdict(self.plan.tolerated_difference)
             for class_name, comparison in self._comparisons.items()
         }
         for class_name, verdict in verdicts.items():
             if verdict is Verdict.WORSE:
-                return self._stop(class_name)
-        judged_long = self._judged_s >= self.plan.min_stage_s
+                return self._end_as_worse(class_name)
+        compared_long = self._compared_s >= self.plan.min_stage_s
         canary_requests = self._comparisons[ALL_CLASSES].canary_total.requests
-        enough = judged_long and canary_requests >= self.plan.min_requests
-        if enough and verdicts[ALL_CLASSES] is Verdict.NOT_WORSE:
+        has_enough_data = compared_long and canary_requests >= self.plan.min_requests
+        if has_enough_data and verdicts[ALL_CLASSES] is Verdict.NOT_WORSE:
             return self._next_stage(zones)
-        if self.without_control and not self._baseline_windows and judged_long:
+        if self.without_control and not self._baseline_windows and compared_long:
             return self._next_stage(zones)
         if elapsed_s < self.plan.max_stage_s:
             return None
-        if enough and self.plan.when_undecided is UndecidedAction.GO_ON:
+        if has_enough_data and self.plan.when_undecided is UndecidedAction.GO_ON:
             return self._next_stage(zones)
         bounds = self._comparisons[ALL_CLASSES].bounds
         reason = (
@@ -312,8 +331,8 @@
         )
         return self._change_phase(Phase.AWAITING_OPERATOR, reason)
 
-    def _stop(self, class_name: str) -> Action:
-        """Roll back, as a class is worse; ask if there was nothing to compare with in the same seconds."""
+    def _end_as_worse(self, class_name: str) -> Action:
+        """Roll back as a class is worse; without a control group in the same seconds, ask the operator."""
         comparison = self._comparisons[class_name]
         bounds = comparison.bounds
         subject = f"class {class_name}" if class_name != ALL_CLASSES else "all classes together"
@@ -339,7 +358,7 @@
         return RolloutState(stage, stage_members(self.plan.name, zones, share, self.state.members))
 
     def resumed_state(self, zones: Mapping[int, str]) -> RolloutState | None:
-        """Return the state after an operator's order to go on; None if the rollout does not wait for one."""
+        """Return the state after an operator's command to go on; None if the rollout needs none."""
         if self.state.phase is Phase.PAUSED:
             return RolloutState(self.state.stage, self.state.members)
         if self.state.phase is not Phase.AWAITING_OPERATOR:
@@ -350,16 +369,16 @@
         return self._state_of_stage(stage, zones)
 
     def status(self) -> ControllerStatus:
-        """Return what the controller has observed so far."""
+        """Return the controller's state and estimates so far."""
         estimates = {}
         for class_name, comparison in self._comparisons.items():
             bounds = comparison.bounds
             estimates[class_name] = DifferenceEstimate(
                 comparison.difference, bounds.low, bounds.high, comparison.canary_total.requests
             )
-        return ControllerStatus(self.control_degraded, self._judged_s, estimates)
+        return ControllerStatus(self.control_degraded, self._compared_s, estimates)
 
 
 def is_first_heard_acceptor(heard: Sequence[int], acceptors: Sequence[int], member: int) -> bool:
-    """Return whether `member` is an acceptor, and the lowest-numbered one of those that are heard."""
+    """Return whether `member` is the lowest-numbered acceptor among `heard` and itself."""
     return member in acceptors and member == min({*heard, member} & set(acceptors))
--- a/client_proxy/rollout/rollout_executor.py
+++ b/client_proxy/rollout/rollout_executor.py
@@ -38,19 +38,22 @@
 
 log = logging.getLogger(__name__)
 
-WINDOW_S = 1.0
-MAX_WINDOW_S = 3 * WINDOW_S
-MAX_CLASSES = 20
-MAX_REASON_CHARACTERS = 300
+WINDOW_S = 1.0  # seconds from one report, and from one closed window, to the next
+MAX_WINDOW_S = 3 * WINDOW_S  # seconds; a window that lasted longer is not evaluated
+MAX_CLASSES = 20  # classes with counters at one instance; outcomes of further ones are not counted
+MAX_REASON_CHARACTERS = 300  # what the policy file's `reason` key may hold
 MEMBER_TIMEOUT_S = 5.0
-"""A member whose last report is older than this does not count as present."""
+"""Seconds; a member whose last report is older does not count as present."""
 
 Propose = Callable[[bytes, str], None]
-"""Proposes a policy file for a reason. Raises ValueError while another change is in progress, or OSError."""
+"""Proposes a policy file, with a reason for the history.
+
+Raises ValueError if it cannot be proposed now, such as while another change is in progress, or OSError.
+"""
 
 
 def plan_from_table(table: RolloutTable) -> Plan:
-    """Return the plan that the policy file's table holds."""
+    """Return the plan in the policy file's `[rollout]` table."""
     return Plan(
         name=table.name,
         stage_shares=table.shares,
@@ -67,12 +70,12 @@
 
 
 def state_from_table(table: RolloutTable) -> RolloutState:
-    """Return the rollout's state that the policy file's table holds."""
+    """Return the rollout state in the policy file's `[rollout]` table."""
     return RolloutState(table.stage, table.members, Phase(table.what), table.reason, table.probes)
 
 
 def table_with_state(table: RolloutTable, state: RolloutState) -> RolloutTable:
-    """Return the table with this state in place of the one that it holds."""
+    """Return a copy of the table with its state replaced by `state`."""
     return table.model_copy(
         update={
             "stage": state.stage,
@@ -85,7 +88,7 @@
 
 
 def status_fields(status: ControllerStatus) -> dict[str, object]:
-    """Return the controller's part of the control socket's answer."""
+    """Return the controller's keys of the answer on the control socket."""
     estimates = {
         "all" if class_name == ALL_CLASSES else class_name: [
             round(estimate.difference, 4),
@@ -97,14 +100,14 @@
     }
     return {
         "troubled": status.control_degraded,
-        "judged_s": round(status.judged_s, 1),
+        "judged_s": round(status.compared_s, 1),
         "lose_more": estimates,
     }
 
 
 @dataclass(slots=True)
 class RequestCounter:
-    """What this instance has counted of one class."""
+    """Requests of one class that ended at this instance, and those of them not served in time."""
 
     requests: int = 0
     failures: int = 0
@@ -114,16 +117,17 @@
     """Takes part in rollouts for one instance.
 
     Args:
-        zone: this instance's zone.
-        incarnation: tells this process from earlier ones of the same instance.
-        now_s: a monotonic clock.
-        send_counts: sends this instance's counts to the acceptors.
-        propose: proposes a change of the policy file.
-        is_active: whether this instance is the one to act on the controller's steps.
+        zone: Zone of this instance.
+        incarnation: Distinguishes this process from earlier ones of the same instance.
+        now_s: Monotonic clock, in seconds.
+        send_counts: Sends this instance's counts to the acceptors.
+        propose: Proposes a change of the policy file.
+        is_active: Returns whether this instance is the one that proposes the controller's steps.
 
     Attributes:
-        table: the rollout in the version that is in effect; None without one.
-        controller: decides its steps; None without a rollout.
+        counters: By class name, since the policy version in effect was activated.
+        table: The `[rollout]` table of the version in effect; None without a rollout.
+        controller: Decides the steps of the rollout; None without a rollout.
     """
 
     def __init__(
@@ -143,12 +147,12 @@
         self._policy_text, self._version = "", 0
         self._outcomes = OutcomeCounts()
         self._baseline_windows: list[Window] = []
-        self._last_heard_s: dict[int, float] = {}
+        self._last_report_s: dict[int, float] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._window_closed_s = 0.0
 
     def record_outcome(self, class_name: str, in_time: bool) -> None:
-        """Count a request that has ended at this instance."""
+        """Count a request that has ended at this instance, if its class has a counter or can get one."""
         counter = self.counters.get(class_name)
         if counter is None:
             if len(self.counters) >= MAX_CLASSES:
@@ -158,17 +162,23 @@
         counter.failures += not in_time
 
     def activate_version(self, version: int, policy: Policy, content: bytes) -> None:
-        """Follow the rollout of a version of the policy that is in effect here from now on."""
+        """Start or continue the rollout, if any, of a policy version that takes effect at this instance.
+
+        Args:
+            version: Number of the version.
+            policy: The policy read from `content`.
+            content: The policy file.
+        """
         previous, self.table = self.table, policy.rollout
         self._version = version
-        self.counters.clear()  # classes of earlier policies must not take the places of this one's
+        self.counters.clear()  # so that classes of earlier policies do not use up `MAX_CLASSES`
         if self.table is None:
             if previous is not None:
-                log.info("rollout %s is over", previous.name)
+                log.info("rollout %s has ended", previous.name)
             self.close()
             return
         self._policy_text = content.decode()
-        self._keep_baseline(previous, self.table)
+        self._update_baseline(previous, self.table)
         now_s = self._now_s()
         classes = [request_class.name for request_class in policy.classes]
         self.controller = RolloutController(
@@ -178,8 +188,8 @@
             self._window_closed_s = now_s
             self._start_timer()
 
-    def _keep_baseline(self, previous: RolloutTable | None, table: RolloutTable) -> None:
-        """Start a new baseline with a new rollout; keep the recorded one when its first stage begins."""
+    def _update_baseline(self, previous: RolloutTable | None, table: RolloutTable) -> None:
+        """Start recording a baseline for a new rollout; store it when the first stage begins."""
         if previous is None or previous.name != table.name:
             log.info("rollout %s: recording the baseline of all instances", table.name)
             self._outcomes, self._baseline_windows = OutcomeCounts(), []
@@ -189,37 +199,37 @@
             log.info("rollout %s: stage %d, %s %s", table.name, table.stage, table.what, table.reason)
 
     def close(self) -> None:
-        """Stop taking part in a rollout."""
+        """Stop taking part in a rollout; cancels the timer."""
         self.table = self.controller = None
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def receive_counts(self, member: int, message: OutcomeReport) -> None:
-        """Record a member's counts if they belong to the version that is in effect here."""
+        """Record a member's counts if they belong to the version in effect at this instance."""
         if self.table is None or message.version != self._version:
             return
         report = CumulativeCounts(message.incarnation, message.version, message.counts)
         self._outcomes.record(member, message.zone, report)
-        self._last_heard_s.pop(member, None)
-        self._last_heard_s[member] = self._now_s()
-        if len(self._last_heard_s) > MAX_MEMBERS:
-            del self._last_heard_s[next(iter(self._last_heard_s))]
+        self._last_report_s.pop(member, None)
+        self._last_report_s[member] = self._now_s()
+        if len(self._last_report_s) > MAX_MEMBERS:
+            del self._last_report_s[next(iter(self._last_report_s))]
 
     def present_zones(self) -> dict[int, str]:
         """Return the zones of the members that reported within `MEMBER_TIMEOUT_S`."""
         since_s = self._now_s() - MEMBER_TIMEOUT_S
-        self._last_heard_s = {
-            member: heard_s for member, heard_s in self._last_heard_s.items() if heard_s >= since_s
+        self._last_report_s = {
+            member: reported_s for member, reported_s in self._last_report_s.items() if reported_s >= since_s
         }
         zones = self._outcomes.zones
-        return {member: zones[member] for member in self._last_heard_s if member in zones}
+        return {member: zones[member] for member in self._last_report_s if member in zones}
 
     def _start_timer(self) -> None:
         self._timer = asyncio.get_running_loop().call_later(WINDOW_S, self._tick)
 
     def _tick(self) -> None:
-        """Report this instance's counts, close the window and propose the step that follows."""
+        """Report this instance's counts, close the window and propose the controller's step, if any."""
         self._timer = None
         if self.table is None or self.controller is None:
             return
@@ -229,69 +239,69 @@
         window, duration_s = self._outcomes.close_window(), now_s - self._window_closed_s
         self._window_closed_s = now_s
         action = None
-        # A process that was stopped would take the reports of a minute for those of a second.
+        # After a process was suspended, its window holds the reports of a much longer time than a second.
         if duration_s < MAX_WINDOW_S:
             action = self.controller.observe(now_s, window, duration_s, self.present_zones())
         if action is not None and self._is_active():
-            self._act(self.table, action)
+            self._propose_action(self.table, action)
         self._start_timer()
 
-    def _act(self, table: RolloutTable, action: Action) -> None:
+    def _propose_action(self, table: RolloutTable, action: Action) -> None:
         reason = _history_text(table, action)
         try:
-            self._propose(self._file_after(table, action), reason)
+            self._propose(self._policy_file_after(table, action), reason)
             log.info("%s", reason)
         except (ValueError, OSError) as error:
-            log.info("rollout %s: step not proposed: %s", table.name, error)
+            log.info("rollout %s: the step could not be proposed: %s", table.name, error)
 
-    def _file_after(self, table: RolloutTable, action: Action) -> bytes:
-        """Return the policy file that puts the step into effect."""
+    def _policy_file_after(self, table: RolloutTable, action: Action) -> bytes:
+        """Return the policy file that carries out the action."""
         if isinstance(action, Promote):
             return table.new.encode()
         if isinstance(action, Rollback):
             return without_rollout(self._policy_text).encode()
         return with_rollout(self._policy_text, table_with_state(table, action.state)).encode()
 
-    # Operators' orders
+    # Operators' commands
 
     def started_file(self, policy_text: str, table: RolloutTable) -> bytes:
         """Return the policy file that starts a rollout.
 
         Raises:
-            RolloutInProgressError: another one is in progress.
+            RolloutInProgressError: Another rollout is in progress.
         """
         if self.table is not None:
             raise RolloutInProgressError(f"rollout {self.table.name} is on")
         return with_rollout(policy_text, table).encode()
 
     def apply_order(self, order: str) -> tuple[bytes, str]:
-        """Return the policy file after an operator's order, and the text for the history.
+        """Return the policy file after an operator's command, and the reason for the policy history.
 
         Args:
-            order: `pause`, `go-on` or `back`.
+            order: The command: `pause`, `go-on` or `back`.
 
         Raises:
-            NoRolloutError: no rollout is in progress.
-            OrderNotApplicableError: it is paused already, or does not wait for an order to go on.
+            NoRolloutError: No rollout is in progress.
+            OrderNotApplicableError: The rollout is already paused, or does not wait for a command to go on.
         """
         if self.table is None or self.controller is None:
             raise NoRolloutError("no rollout is on")
         table, state = self.table, state_from_table(self.table)
         if order == "back":
-            return self._file_after(table, Rollback("")), f"rollout {table.name}: back"
+            return self._policy_file_after(table, Rollback("")), f"rollout {table.name}: back"
         if order == "pause":
             if state.phase is Phase.PAUSED:
                 raise OrderNotApplicableError("it is paused already")
             paused = RolloutState(state.stage, state.members, Phase.PAUSED, "by hand")
-            return self._file_after(table, Transition(paused)), f"rollout {table.name}: pause"
+            return self._policy_file_after(table, Transition(paused)), f"rollout {table.name}: pause"
         resumed = self.controller.resumed_state(self.present_zones())
         if resumed is None:
             raise OrderNotApplicableError(f"it is {state.phase.value}: there is nothing to let go on")
         text = f"rollout {table.name}: goes on, stage {resumed.stage}"
-        return self._file_after(table, Transition(resumed)), text
+        return self._policy_file_after(table, Transition(resumed)), text
 
     def status(self) -> dict[str, Any] | None:
-        """Return the rollout's part of the control socket's answer; None without a rollout."""
+        """Return the rollout's keys of the answer on the control socket; None without a rollout."""
         if self.table is None or self.controller is None:
             return None
         table = self.table
@@ -308,7 +318,7 @@
 
 
 def _history_text(table: RolloutTable, action: Action) -> str:
-    """Return the reason that the policy's history gives for a step."""
+    """Return the reason that the policy history records for an action."""
     if isinstance(action, Transition):
         state = action.state
         stages = len(table.shares)
--- a/tests/rollout/__init__.py
+++ b/tests/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of rollout."""
+"""Tests of `client_proxy.rollout`."""
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""The sequential comparison of two groups of instances."""
+"""Tests of the sequential comparison of the canary group with the control group."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def compare_simulated_groups(seed: int, rate_increase: float, windows: int = 120) -> Verdict:
-    """The verdict on a canary group that fails more often than the control group by `rate_increase`."""
+    """Return the verdict on a canary group whose failure rate is higher by `rate_increase`."""
     random = Random(seed)
 
     def count(requests: int, failure_rate: float) -> OutcomeCount:
@@ -23,31 +23,31 @@
     return comparison.verdict(0.03)
 
 
-def test_looking_at_every_window_rarely_stops_an_equal_version() -> None:
+def test_a_verdict_after_every_window_rarely_stops_an_equal_version() -> None:
     stopped = sum(compare_simulated_groups(seed, 0.0) is Verdict.WORSE for seed in range(300))
-    assert stopped <= 6  # alpha allows one in a hundred
+    assert stopped <= 6  # alpha allows one of a hundred, that is 3 of 300 on average
 
 
-def test_a_version_that_fails_a_tenth_more_is_always_found() -> None:
+def test_a_version_with_a_failure_rate_higher_by_a_tenth_is_always_detected() -> None:
     assert all(compare_simulated_groups(seed, 0.1) is Verdict.WORSE for seed in range(40))
 
 
 def test_windows_with_more_spread_than_independent_requests_widen_the_bound() -> None:
     random = Random(3)
 
-    def pairs(spread: float) -> list[tuple[OutcomeCount, OutcomeCount]]:
+    def window_pairs(spread: float) -> list[tuple[OutcomeCount, OutcomeCount]]:
         rates = [max(0.0, min(1.0, 0.2 + random.gauss(0, spread))) for _ in range(40)]
         return [(OutcomeCount(100, round(100 * rate)), OutcomeCount(100, 20)) for rate in rates]
 
-    calm, dispersed = Baseline(pairs(0.04)), Baseline(pairs(0.2))
-    assert dispersed.dispersion > 3 * calm.dispersion
-    narrow, wide = Comparison(0.01, calm), Comparison(0.01, dispersed)
+    stable, dispersed = Baseline(window_pairs(0.04)), Baseline(window_pairs(0.2))
+    assert dispersed.dispersion > 3 * stable.dispersion
+    narrow, wide = Comparison(0.01, stable), Comparison(0.01, dispersed)
     for comparison in (narrow, wide):
         comparison.add(OutcomeCount(100, 30), OutcomeCount(100, 20))
     assert wide.bounds.high - wide.bounds.low > narrow.bounds.high - narrow.bounds.low
 
 
-def test_windows_with_few_requests_are_joined() -> None:
+def test_windows_with_few_requests_are_merged() -> None:
     comparison = Comparison(0.01, Baseline())
     for _ in range(4):
         comparison.add(OutcomeCount(1, 1), OutcomeCount(9, 0))
--- a/tests/rollout/test_file.py
+++ b/tests/rollout/test_file.py
@@ -1,4 +1,4 @@
-"""The rollout's table in the agreed policy file."""
+"""Tests of the `[rollout]` table in the agreed policy file."""
 
 from __future__ import annotations
 
--- a/tests/rollout/test_rollout_controller.py
+++ b/tests/rollout/test_rollout_controller.py
@@ -1,4 +1,4 @@
-"""The controller's steps, over a simulated fleet without processes and without a clock."""
+"""Tests of the controller's steps with a simulated fleet, without processes and with a simulated clock."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 CLASSES = ("a", "b")
 
 FailureRate = Callable[[int, bool, int], float]
-"""Of an instance: by its number, whether it uses the new version, and the stage that is in effect."""
+"""Returns an instance's failure rate: by its number, whether it uses the new version, and the stage in effect."""
 
 
 class SimulatedFleet:
-    """Twelve instances that fail at a given rate, and the controller of their rollout."""
+    """Twelve instances whose requests fail at a given rate, and the controller of their rollout."""
 
     def __init__(self, failure_rate: FailureRate, plan: Plan = PLAN, seed: int = 1) -> None:
         self.random, self.failure_rate, self.plan = Random(seed), failure_rate, plan
@@ -50,7 +50,7 @@
 
     @property
     def transitions(self) -> list[RolloutState]:
-        """The states that the rollout went through."""
+        """The states that the rollout has gone through."""
         return [action.state for action in self.actions if isinstance(action, Transition)]
 
     def new_controller(self) -> RolloutController:
@@ -71,7 +71,7 @@
         return window
 
     def run(self, seconds: int = 400) -> Action | None:
-        """Let time pass until the rollout ends; returns how, or None if it has not."""
+        """Simulate seconds until the rollout ends; return its last action, or None if it has not ended."""
         for _ in range(seconds):
             self.now_s += 1.0
             window = self.next_window()
@@ -88,8 +88,8 @@
         return None
 
 
-class FaultOfStageThree:
-    """A fault of all servers that begins with the third stage and lasts for a given span."""
+class FaultDuringStageThree:
+    """A fault of all servers from `begin_s` to `end_s` after the start of the third stage."""
 
     def __init__(self, begin_s: float, end_s: float) -> None:
         self.begin_s, self.end_s = begin_s, end_s
@@ -124,20 +124,20 @@
 
 
 def test_an_instance_that_was_always_worse_does_not_stop_the_rollout() -> None:
-    """It is in a zone that is far from the servers, before and after."""
+    """The instance is in a zone far from the servers, and fails more before the rollout as well."""
     first_member = stage_members("try", ZONES, 0.05)[0]
     fleet = SimulatedFleet(lambda member, uses_new, stage: 0.12 if member == first_member else 0.01)
     assert isinstance(fleet.run(), Promote)
 
 
-def test_a_fault_of_servers_pauses_the_rollout_and_is_not_held_against_the_version() -> None:
+def test_a_server_fault_pauses_the_rollout_and_is_not_attributed_to_the_version() -> None:
     fleet = SimulatedFleet(lambda member, uses_new, stage: 0.4 if 22 <= fleet.now_s <= 52 else 0.01)
     assert isinstance(fleet.run(), Promote)
     assert not [state for state in fleet.transitions if state.phase is Phase.AWAITING_OPERATOR]
     assert fleet.now_s > 52
 
 
-def test_a_version_that_harms_all_once_half_have_it_is_found_by_two_probes() -> None:
+def test_a_version_that_harms_all_instances_once_half_use_it_is_detected_by_two_probes() -> None:
     fleet = SimulatedFleet(lambda member, uses_new, stage: 0.35 if stage >= 3 else 0.01)
     end = fleet.run()
     assert isinstance(end, Rollback)
@@ -146,14 +146,14 @@
     assert phases[-3:] == [Phase.RUNNING, Phase.PROBING, Phase.RUNNING]
 
 
-def test_a_fault_that_begins_with_a_stage_and_ends_in_its_probe_is_not_held_against_it() -> None:
-    fleet = FaultOfStageThree(begin_s=2, end_s=9).fleet
+def test_a_fault_that_begins_with_a_stage_and_ends_in_its_probe_is_not_attributed_to_the_version() -> None:
+    fleet = FaultDuringStageThree(begin_s=2, end_s=9).fleet
     assert isinstance(fleet.run(), Promote)
     assert Phase.PROBING in [state.phase for state in fleet.transitions]
 
 
-def test_a_fault_that_outlasts_the_probe_is_waited_out() -> None:
-    fleet = FaultOfStageThree(begin_s=0, end_s=40).fleet
+def test_the_rollout_waits_until_a_fault_that_outlasts_the_probe_has_ended() -> None:
+    fleet = FaultDuringStageThree(begin_s=0, end_s=40).fleet
     assert isinstance(fleet.run(), Promote)
     steps = [(state.stage, state.phase) for state in fleet.transitions]
     assert (3, Phase.PROBING) in steps
@@ -171,7 +171,7 @@
     assert resumed.stage == 2
 
 
-def test_a_stage_that_is_to_be_confirmed_awaits_the_operator() -> None:
+def test_a_stage_that_needs_confirmation_awaits_the_operator() -> None:
     fleet = SimulatedFleet(lambda member, uses_new, stage: 0.01, replace(PLAN, confirmed_stages=(3,)))
     fleet.run(200)
     assert fleet.state.phase is Phase.AWAITING_OPERATOR
@@ -180,7 +180,7 @@
     assert fleet.controller.resumed_state(ZONES) == expected
 
 
-def test_a_version_that_all_have_and_that_is_worse_than_before_awaits_the_operator() -> None:
+def test_a_version_that_all_use_and_that_is_worse_than_the_baseline_awaits_the_operator() -> None:
     plan = replace(PLAN, stage_shares=(1.0,))
     fleet = SimulatedFleet(lambda member, uses_new, stage: 0.045 if uses_new else 0.01, plan)
     fleet.run(100)
@@ -192,7 +192,9 @@
     fleet = SimulatedFleet(lambda member, uses_new, stage: 0.3 if uses_new and stage >= 3 else 0.01)
     fleet.run(30)
     assert fleet.state.stage >= 2
-    fleet.controller = fleet.new_controller()  # at another acceptor, which has observed stage 0 as well
+    fleet.controller = (
+        fleet.new_controller()
+    )  # as created at another acceptor, which has observed stage 0 as well
     end = fleet.run()
     assert isinstance(end, Rollback)
     assert "stage 3" in end.reason
--- a/tests/rollout/test_rollout_executor.py
+++ b/tests/rollout/test_rollout_executor.py
@@ -1,4 +1,4 @@
-"""One instance's part in a rollout: what it reports, when it acts, and what operators may order."""
+"""Tests of a rollout at one instance: its reports, when it proposes steps, and operators' commands."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 REQUESTS_PER_SECOND = 40
 
 Failures = Callable[[int], int]
-"""How many requests an instance fails in a second, by its number."""
+"""Returns how many requests of an instance fail in a second, by the instance's number."""
 
 
 def no_failures(member: int) -> int:
@@ -51,7 +51,7 @@
 
 
 class SimulatedInstances:
-    """Four instances, as the executor of one acceptor hears of them."""
+    """Four instances whose reports the executor of one acceptor receives."""
 
     def __init__(self) -> None:
         self.now_s, self.is_active, self.is_busy = 100.0, True, False
@@ -86,7 +86,7 @@
         self.executor._tick()
 
     def next_proposal(self, failures: Failures = no_failures) -> Proposal:
-        """Let time pass until the executor proposes a change."""
+        """Simulate seconds until the executor proposes a change; return it."""
         before = len(self.proposals)
         for _ in range(200):
             if len(self.proposals) > before:
@@ -96,7 +96,7 @@
 
 
 def run(test: Callable[[SimulatedInstances], Coroutine[Any, Any, None]]) -> None:
-    """Run a test with a rollout that has just been started."""
+    """Run a test with a rollout that has just started."""
 
     async def with_instances() -> None:
         instances = SimulatedInstances()
@@ -109,7 +109,7 @@
     asyncio.run(with_instances())
 
 
-def test_a_rollout_reaches_all_by_versions_each_made_from_the_one_before() -> None:
+def test_a_rollout_reaches_all_instances_by_versions_each_based_on_the_one_before() -> None:
     async def test(instances: SimulatedInstances) -> None:
         sizes = []
         while True:
@@ -129,7 +129,7 @@
     run(test)
 
 
-def test_a_worse_version_is_rolled_back_to_the_very_file_that_was_there() -> None:
+def test_a_worse_version_is_rolled_back_to_the_file_before_the_rollout() -> None:
     async def test(instances: SimulatedInstances) -> None:
         first = instances.next_proposal()
         instances.decide(first.content)
@@ -151,7 +151,9 @@
         assert not instances.proposals
         instances.is_active, instances.is_busy = True, True
         instances.pass_second()
-        assert not instances.proposals  # another change is in progress: the next tick tries again
+        assert (
+            not instances.proposals
+        )  # another change is in progress: the executor tries again at its next tick
         instances.is_busy = False
         instances.pass_second()
         assert len(instances.proposals) == 1
@@ -159,13 +161,13 @@
     run(test)
 
 
-def test_a_window_that_took_a_minute_is_not_judged() -> None:
+def test_a_window_that_lasted_a_minute_is_not_compared() -> None:
     async def test(instances: SimulatedInstances) -> None:
         instances.decide(instances.next_proposal().content)
         controller = instances.executor.controller
         assert controller is not None
         instances.pass_second(lambda member: 40, duration_s=60.0)
-        assert controller._judged_s == 0.0
+        assert controller._compared_s == 0.0
         assert len(instances.proposals) == 1
 
     run(test)
@@ -215,24 +217,24 @@
     run(test)
 
 
-def test_state_of_members_and_classes_is_bounded_and_expires() -> None:
+def test_state_kept_for_members_and_classes_is_bounded_and_expires() -> None:
     async def test(instances: SimulatedInstances) -> None:
         executor = instances.executor
         for member in range(5000):
             executor.receive_counts(member, OutcomeReport(instances.version, 1, "h", {}))
-        assert len(executor._last_heard_s) == MAX_MEMBERS
+        assert len(executor._last_report_s) == MAX_MEMBERS
         instances.now_s += 60.0
-        assert executor.present_zones() == {} == executor._last_heard_s
+        assert executor.present_zones() == {} == executor._last_report_s
         for number in range(30):
             executor.record_outcome(f"old-{number}", True)
         instances.decide(with_rollout(OLD_POLICY, TABLE.model_copy(update={"stage": 1})).encode())
-        executor.record_outcome("c", False)  # the new policy's own class is counted
+        executor.record_outcome("c", False)  # the class of the new policy is counted
         assert executor.counters == {"c": RequestCounter(1, 1)}
 
     run(test)
 
 
-def test_the_first_of_the_acceptors_that_are_heard_acts() -> None:
+def test_the_lowest_numbered_reachable_acceptor_acts() -> None:
     assert is_first_heard_acceptor((1, 2, 9), (1, 2, 3), 1)
     assert not is_first_heard_acceptor((1, 2), (1, 2, 3), 2)
     assert is_first_heard_acceptor((7, 3), (1, 2, 3), 2)
--- a/tests/rollout/test_rollout_processes.py
+++ b/tests/rollout/test_rollout_processes.py
@@ -1,4 +1,4 @@
-"""A rollout over real processes under load."""
+"""Tests a rollout with real processes under load."""
 
 from __future__ import annotations
 
--- a/tests/rollout/test_stages.py
+++ b/tests/rollout/test_stages.py
@@ -1,4 +1,4 @@
-"""The members of a rollout's stages."""
+"""Tests of the selection of a stage's members."""
 
 from __future__ import annotations
 
