--- a/client_proxy/warm_state/__init__.py
+++ b/client_proxy/warm_state/__init__.py
@@ -1,5 +1,5 @@
-"""Warm state: what an instance has learned, handed over at a change of policy or a restart.
+"""Warm state: what a balancer has learned of its servers, kept across policy changes and restarts.
 
-`snapshot`, `capture`, `restore` and `in_flight_handover` have no I/O and no clock; `snapshot_store` is the
-disk.
+`snapshot`, `capture`, `restore` and `in_flight_handover` do no I/O and read no clock; `snapshot_store` does
+the disk access.
 """
--- a/client_proxy/warm_state/capture.py
+++ b/client_proxy/warm_state/capture.py
@@ -1,4 +1,4 @@
-"""Captures a snapshot of what a balancer has learned."""
+"""Captures a snapshot of a balancer's warm state."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
     Snapshot,
 )
 
-MAX_ENDPOINTS = 10_000
-MAX_TIMES = 4096  # of requests and attempts in the window, the latest of each
+MAX_ENDPOINTS = 10_000  # servers in a snapshot
+MAX_TIMES = 4096  # times of requests in a snapshot, and of attempts; the latest ones are kept
 
 
 def capture_snapshot(balancer: Balancer, offset_ms: float = 0.0) -> Snapshot:
-    """Returns what the balancer has learned.
+    """Return a snapshot of the balancer's warm state.
 
     Args:
-        balancer: It is not changed.
-        offset_ms: Added to a server's start: from the balancer's clock to one that the next process shares.
+        balancer: The balancer, which is not changed.
+        offset_ms: Added to each server's start time, to convert it from the balancer's clock to a clock that
+            the process that restores the snapshot shares.
     """
     now_ms = balancer.now_ms
     endpoint_set, limiter = balancer.endpoint_set, balancer.attempt_limiter
--- a/client_proxy/warm_state/in_flight_handover.py
+++ b/client_proxy/warm_state/in_flight_handover.py
@@ -1,8 +1,9 @@
-"""Counts attempts of earlier balancers of an instance at the one that is active now.
+"""Counts attempts in flight of earlier balancers of an instance at its active balancer.
 
-After a change of policy, requests in flight end by the version that they began with. Their attempts occupy
-the servers all the same. Without them the new balancer would take the servers for idle and send each its
-whole limit beside them; with them but without their answers, it would take the servers for stalled.
+After a policy change, requests in flight end under the version with which they began, at an earlier balancer.
+Their attempts still occupy the servers. If the new balancer did not count them, it would treat the servers as
+idle and send each up to its whole limit in addition; if it counted them without their answers, it would treat
+the servers as stalled.
 """
 
 from __future__ import annotations
@@ -11,18 +12,18 @@
 from client_proxy.balancer.balancer import Balancer
 from client_proxy.balancer.endpoint import Endpoint
 
-NO_CREDIT = -1e18  # work that no rate earns back
-ANSWERED = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.UNUSABLE)
+NO_CREDIT = -1e18  # slow-start credit in units of work; so low that no rate earns it back
+ANSWERED = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.UNUSABLE)  # the server has sent an answer
 
 
 class InFlightHandover:
-    """Belongs to one balancer, until the next one takes its place."""
+    """Counts attempts of earlier balancers at one balancer, until the next balancer replaces it."""
 
     def __init__(self, balancer: Balancer) -> None:
         self._balancer = balancer
 
     def take_over(self, predecessor: Balancer) -> None:
-        """Takes over all that is in flight there, including what that one took over itself."""
+        """Take over all attempts in flight of `predecessor`, including those that it took over itself."""
         endpoint_set = self._balancer.endpoint_set
         for name, endpoint in endpoint_set.endpoints.items():
             old = predecessor.endpoint_set.endpoints.get(name)
@@ -34,20 +35,27 @@
         self._end_slow_start(predecessor)
 
     def _keep_connections(self, predecessor: Balancer) -> None:
-        # Otherwise calls to a long list would dial after each change until as many servers were used again.
+        # Otherwise requests to a long list of servers would open new connections after each policy change,
+        # until as many servers were in use again.
         for old in predecessor.connected_endpoints:
             endpoint = self._find(old.listed.name, old.listed.started_ms)
             if endpoint is not None:
                 self._balancer.connected_endpoints.endpoint_used(endpoint)
 
     def _end_slow_start(self, predecessor: Balancer) -> None:
-        # A cold server would be sent requests by two balancers of one instance, each within its slow-start
-        # limit. The credit has gone to the new one; retries that are left at the old one go to warm servers.
+        # Otherwise a cold server would get requests from two balancers of one instance, each within its
+        # slow-start limit. The new balancer has the credit; remaining retries of the predecessor go to warm
+        # servers.
         for old in predecessor.endpoint_set.endpoints.values():
             old.slow_start_credit, old.slow_start_credit_ms = NO_CREDIT, predecessor.now_ms
 
     def sent(self, name: str, started_ms: float | None) -> None:
-        """Counts an attempt that an earlier balancer sends to the server that started then."""
+        """Count an attempt that an earlier balancer sends.
+
+        Args:
+            name: Name of the server.
+            started_ms: Start time of the server process; the attempt is ignored if the server has restarted.
+        """
         endpoint = self._find(name, started_ms)
         if endpoint is None:
             return
@@ -56,11 +64,11 @@
         endpoint.in_flight += 1
 
     def ended(self, name: str, started_ms: float | None, outcome: Outcome) -> None:
-        """Counts the end of an attempt of an earlier balancer."""
+        """Count the end of an attempt of an earlier balancer; arguments as for `sent`."""
         endpoint = self._find(name, started_ms)
         if endpoint is None:
             return
-        # Not below zero: a server that was off the list for one version began there with none.
+        # Not below zero: a server that was missing from the list of one version started at zero there.
         endpoint.in_flight = max(0, endpoint.in_flight - 1)
         if outcome in ANSWERED:
             endpoint.awaiting_since_ms = self._balancer.now_ms
--- a/client_proxy/warm_state/restore.py
+++ b/client_proxy/warm_state/restore.py
@@ -1,8 +1,8 @@
-"""Gives a snapshot to a balancer, as far as its age allows.
+"""Restores a snapshot into a balancer, with a weight that decreases with the snapshot's age.
 
-What is restored never allows more than the guards of a balancer that knows nothing: attempts, drains, slow
-start and idempotency are judged anew, tokens are at most what was left, and a server that has restarted since
-is a new one.
+A restored balancer is never allowed more than the guards of a new balancer allow: attempts, drains, slow
+start and idempotency are checked anew, the retry budget has at most the tokens that were left, and a server
+that has restarted since counts as new.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
     confidence,
 )
 
-START_TOLERANCE_MS = 500.0  # between two readings of one start, as clocks are corrected in between
-MIN_LIMIT, MIN_SLOWNESS = 1.0, 0.01
-SERVED_CONFIDENCE = 0.5  # above this a class counts as served before
+START_TOLERANCE_MS = 500.0  # between two readings of one start time, as clocks may be corrected in between
+MIN_LIMIT, MIN_SLOWNESS = 1.0, 0.01  # requests; latency relative to the usual one
+SERVED_CONFIDENCE = 0.5  # confidence above which a class that a server had served still counts as served
 
 
 def restore_snapshot(
     balancer: Balancer, snapshot: Snapshot, age_ms: float = 0.0, offset_ms: float = 0.0
 ) -> int:
-    """Gives a snapshot to a balancer that knows its servers.
+    """Restore a snapshot into a balancer that already has its server list.
 
     Args:
-        balancer: It is changed.
-        snapshot: Ignored if its form is another one.
-        age_ms: Since the capture; 0 within one process.
-        offset_ms: From the balancer's clock to that of the servers' starts in the snapshot.
+        balancer: The balancer, which is changed.
+        snapshot: The snapshot; ignored if its format is not `SNAPSHOT_FORMAT`.
+        age_ms: Time since the capture; 0 within one process.
+        offset_ms: Added to the balancer's clock to get the clock of the start times in the snapshot.
 
     Returns:
-        How many of its servers are in the snapshot.
+        The number of servers whose state was restored.
     """
     share = confidence(age_ms)
     if snapshot.form != SNAPSHOT_FORMAT or share <= 0.0:
@@ -50,7 +50,7 @@
 
 
 def _restore_retry_budget(balancer: Balancer, snapshot: Snapshot, share: float) -> None:
-    # With a full budget after each restart, a fleet that restarts in a failure would retry without bound.
+    # If each restart filled the budget, instances that restart during a failure would retry without bound.
     spent = RETRY_BUDGET_CAPACITY - min(RETRY_BUDGET_CAPACITY, max(0.0, snapshot.tokens))
     budget = balancer.retry_budget
     budget.tokens = min(budget.tokens, RETRY_BUDGET_CAPACITY - share * spent)
@@ -82,7 +82,7 @@
 def _restore_totals(balancer: Balancer, snapshot: Snapshot, share: float) -> None:
     endpoint_set = balancer.endpoint_set
     endpoint_set.slowness = _blend(endpoint_set.slowness, snapshot.slowness, share)
-    # The estimate for servers without a latency of their own, which does no harm if it is off.
+    # Only an estimate for servers without a measured latency; an inaccurate one does no harm.
     endpoint_set.latency_ms = snapshot.latency_ms
     endpoint_set.error_share = _blend(endpoint_set.error_share, snapshot.errors, share)
 
@@ -94,7 +94,7 @@
             continue
         gate = pool.admission_gate
         gate.share = min(1.0, max(0.0, _blend(gate.share, known.share, share)))
-        # It sent nothing while it was away: the rate is that of the time before, decaying.
+        # The instance sent nothing while it was down, so the rate before that is restored and decays.
         pool.work_rate.add(balancer.now_ms, share * known.rate * pool.work_rate._span_ms)
 
 
@@ -111,7 +111,10 @@
 
 
 def _is_same_start(started_ms: float | None, known_start_ms: float | None, offset_ms: float) -> bool:
-    """Tells whether a server has not restarted since; one that has is cold, its statistics void."""
+    """Return whether a server has not restarted since the capture.
+
+    After a restart a server is cold, and its statistics do not apply.
+    """
     if started_ms is None or known_start_ms is None:
         return started_ms is None and known_start_ms is None
     return abs(started_ms + offset_ms - known_start_ms) < START_TOLERANCE_MS
@@ -132,8 +135,8 @@
         endpoint.last_answer_ms = now_ms - known.answered_ms - age_ms
     endpoint.decayed_ms = now_ms if known.faded_ms < 0 else now_ms - known.faded_ms
     if known.credit >= 0:
-        # A cold server would get a part of a request from each new process of each instance. So the credit
-        # that was left is continued, and nothing is earned for the time away.
+        # With a new credit, a cold server would get additional work from each new process of each instance.
+        # So the credit that was left is restored, and nothing is earned for the time between.
         endpoint.slow_start_credit, endpoint.slow_start_credit_ms = known.credit, now_ms
     _restore_endpoint_classes(endpoint, known.classes, now_ms, age_ms, share)
 
--- a/client_proxy/warm_state/snapshot.py
+++ b/client_proxy/warm_state/snapshot.py
@@ -1,8 +1,8 @@
-"""Warm state as values: what a balancer has learned, in a form that outlives it.
+"""Snapshot of a balancer's warm state, which `capture` creates and `restore` applies to another balancer.
 
-Times are spans before the capture, so that a snapshot means the same on another clock; only a server's start
-is a moment, on a clock that the caller names by its offset. `capture` makes snapshots, `restore` gives them
-to another balancer. Names of fields are keys in stored files, so they keep their first names.
+Times are stored as the time that had passed at the capture, so that a snapshot does not depend on a clock.
+Only a server's start time is absolute, on a clock given by its offset to the balancer's clock.
+Field names are keys in stored files and must not change.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 
 from client_proxy.balancer.retry_budget import RETRY_BUDGET_CAPACITY
 
-SNAPSHOT_FORMAT = 1  # raised when an earlier program could not read a snapshot correctly
-HALF_LIFE_MS = 30_000.0  # of the confidence in a snapshot
-MAX_AGE_MS = 600_000.0  # of a snapshot that is used at all
-NEVER_MS = -1.0  # in the place of a span, for what never happened
+SNAPSHOT_FORMAT = 1  # raised when earlier program versions cannot read new snapshots correctly
+HALF_LIFE_MS = 30_000.0  # age after which the confidence in a snapshot has halved
+MAX_AGE_MS = 600_000.0  # an older snapshot is not used
+NEVER_MS = -1.0  # stored instead of the time since an event that never happened
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointClassSnapshot:
-    """What a class of requests met at one server.
+    """Statistics of one request class at one server.
 
     Attributes:
-        earned: Weight of the requests that were served, from 0 to 1.
+        earned: Smoothed share of the priority weight that answers earned, from 0 to 1.
         errors: Share of errors, from 0 to 1.
-        failures: Pauses in a row.
-        paused_ms: How long it is still paused for this class.
-        seen: Whether it has served the class.
+        failures: Number of consecutive pauses.
+        paused_ms: Remaining time for which the server is paused for this class.
+        seen: Whether the server has served the class.
     """
 
     earned: float
@@ -38,21 +38,21 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """What was learned of one server.
+    """Statistics of one server.
 
     Attributes:
-        life: When it started, by the caller's clock, in ms; None: not known, long ago.
-        limit: Its concurrency limit.
-        slowness: Its latency over the usual one.
-        strain: Its saturation.
-        latency_ms: Its latency.
-        errors: Share of errors.
-        failures: Failures in a row.
-        paused_ms: How long it is still paused.
-        answered_ms: Since its last answer; negative: it never answered.
-        faded_ms: Since its statistics last decayed; negative: they have not yet.
-        credit: Work that it may be sent during slow start; negative: not counted yet.
-        classes: By name of the class of requests.
+        life: Start time of the server, in ms on the caller's clock; None: unknown, long ago.
+        limit: Concurrency limit, in requests.
+        slowness: Latency relative to the usual latency.
+        strain: Saturation.
+        latency_ms: Estimated latency.
+        errors: Share of errors, from 0 to 1.
+        failures: Number of consecutive failures.
+        paused_ms: Remaining time for which the server is paused.
+        answered_ms: Time since the last answer; negative: the server has never answered.
+        faded_ms: Time since the statistics last decayed; negative: they have not decayed yet.
+        credit: Work that may still be sent to the server during slow start; negative: no credit yet.
+        classes: Statistics by name of the request class.
     """
 
     life: float | None
@@ -71,17 +71,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSnapshot:
-    """What was learned of a class of requests, over all servers.
+    """Statistics of one request class over all servers.
 
     Attributes:
         mean_ms: Mean latency.
-        base_ms: Baseline of the latency.
-        slow_ratio: Of the tail's latency to the baseline.
-        seen: Samples of the latency.
-        requests: Recent requests, decaying.
-        work: Their work, decaying.
-        served: Those of them that were served, decaying.
-        earned: Weight of the requests that were served.
+        base_ms: Baseline latency.
+        slow_ratio: Tail latency divided by the baseline latency.
+        seen: Number of latency samples.
+        requests: Smoothed share of the requests that arrived.
+        work: Smoothed work of these requests.
+        served: Smoothed share of the class's requests that were served in time.
+        earned: Smoothed share of the priority weight that answers earned, from 0 to 1.
     """
 
     mean_ms: float
@@ -96,11 +96,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolSnapshot:
-    """What was learned of a pool of equivalent servers.
+    """Statistics of a pool of equivalent servers.
 
     Attributes:
-        share: Share of requests that it admits.
-        rate: Work that was sent there, per ms.
+        share: Share of requests that the pool admits, from 0 to 1.
+        rate: Work sent to the pool per ms.
     """
 
     share: float
@@ -109,22 +109,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All that a balancer has learned.
+    """Warm state of a balancer.
 
-    A later program ignores keys that it does not know, and a key that an earlier one left out has its
-    default.
+    A program ignores keys that it does not know; a key that the writing program left out gets its default.
 
     Attributes:
-        form: As `SNAPSHOT_FORMAT`.
-        tokens: Left in the retry budget.
-        taken_ms: Since each request in the window of the attempt limit.
-        made_ms: Since each further attempt in that window.
-        classes: By name.
-        servers: By name.
-        pools: By name: `near`, `far`, and zones as `hall:` and the zone's name.
-        slowness: Over all servers.
-        latency_ms: Over all servers.
-        errors: Share of errors over all servers.
+        form: Format version, `SNAPSHOT_FORMAT` at the time of writing.
+        tokens: Tokens left in the retry budget.
+        taken_ms: Time since each request in the window of the attempt limit.
+        made_ms: Time since each further attempt in that window.
+        classes: Request classes by name.
+        servers: Servers by name.
+        pools: Pools by name: `near` (local), `far` (remote), and `hall:` followed by the name of a zone.
+        slowness: Latency relative to the usual latency, over all servers.
+        latency_ms: Estimated latency over all servers.
+        errors: Share of errors over all servers, from 0 to 1.
     """
 
     form: int = SNAPSHOT_FORMAT
@@ -140,9 +139,9 @@
 
 
 def confidence(age_ms: float) -> float:
-    """Returns how much a snapshot of this age counts, from 1 to 0.
+    """Return the weight of a snapshot of this age, from 1 for a new one to 0.
 
-    An instance that was away for an hour must not act on what may have changed meanwhile; one that was away
-    for a second must not try out each server again. So the confidence halves with each `HALF_LIFE_MS`.
+    An instance that was down for an hour must not rely on what may have changed since; one that was down
+    for a second must not have to test each server again. So the weight halves with each `HALF_LIFE_MS`.
     """
     return 0.5 ** (max(0.0, age_ms) / HALF_LIFE_MS) if age_ms < MAX_AGE_MS else 0.0
--- a/client_proxy/warm_state/snapshot_store.py
+++ b/client_proxy/warm_state/snapshot_store.py
@@ -1,8 +1,8 @@
-"""Stores a snapshot of warm state in a file, which is read back whole or not at all.
+"""Stores a snapshot of warm state in a file, which is loaded completely or not at all.
 
-A snapshot is useful but not needed: a disk that fails costs what was learned and nothing else. Its age is the
-difference of two times of day, of which either may have been stepped; a snapshot that seems to come from the
-future, or is too old, is not used.
+A snapshot is useful but not required: if the disk fails, only the warm state is lost. The age of a snapshot
+is the difference of two readings of the system clock, which may have been set in between; a snapshot that
+seems to be from the future, or is too old, is not used.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from client_proxy.warm_state.snapshot import MAX_AGE_MS, SNAPSHOT_FORMAT, Snapshot
 
 DIGEST_BYTES = 16
-MAX_CONTENT_BYTES = 16 * 1024 * 1024  # of a file, its digest included
-CLOCK_TOLERANCE_MS = 1000.0  # how far a snapshot may seem to come from the future
-FILE_MODE = 0o600
+MAX_CONTENT_BYTES = 16 * 1024 * 1024  # size of a file, digest included
+CLOCK_TOLERANCE_MS = 1000.0  # how far in the future the capture time of a usable snapshot may be
+FILE_MODE = 0o600  # access by the owner only
 
 
 class StoredSnapshot(msgspec.Struct, frozen=True):
-    """The content of a file.
+    """Content of a snapshot file.
 
     Attributes:
-        captured_unix_ms: Time of day of the capture; stored as `at_ms`.
-        snapshot: What was captured; stored as `learned`.
+        captured_unix_ms: Unix time of the capture, in ms; stored as `at_ms`.
+        snapshot: The snapshot; stored as `learned`.
     """
 
     captured_unix_ms: float = msgspec.field(name="at_ms")
@@ -37,17 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedSnapshot:
-    """A snapshot that was read, and the time since its capture."""
+    """A snapshot that was loaded, and the time since its capture."""
 
     snapshot: Snapshot
     age_ms: float
 
 
 def save_snapshot(path: Path, stored: StoredSnapshot) -> None:
-    """Replaces the file in one step: it is written beside, synced and renamed.
+    """Replace the file atomically: write a temporary file in the same folder, sync it and rename it.
 
     Raises:
-        OSError: The disk failed. The file is what it was before.
+        OSError: The disk failed. The file is unchanged.
     """
     content = msgspec.msgpack.encode(stored)
     draft = path.with_name(f".{path.name}.{os.getpid()}")
@@ -65,15 +65,15 @@
 
 
 def load_snapshot(path: Path, now_unix_ms: float) -> LoadedSnapshot | None:
-    """Reads the file.
+    """Load the snapshot from a file.
 
     Args:
         path: The file.
-        now_unix_ms: The time of day.
+        now_unix_ms: Unix time, in ms.
 
     Returns:
-        The snapshot, or None if the file is missing or torn, or the snapshot is of another form, too old or
-        from the future.
+        The snapshot, or None if the file is missing or damaged, or the snapshot has another format, is too
+        old or is from the future.
     """
     stored = _read(path)
     if stored is None or stored.snapshot.form != SNAPSHOT_FORMAT:
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -25,7 +25,7 @@
 
 def test_a_verdict_after_every_window_rarely_stops_an_equal_version() -> None:
     stopped = sum(compare_simulated_groups(seed, 0.0) is Verdict.WORSE for seed in range(300))
-    assert stopped <= 6  # alpha allows one of a hundred, that is 3 of 300 on average
+    assert stopped <= 6  # alpha allows one false alarm in a hundred
 
 
 def test_a_version_with_a_failure_rate_higher_by_a_tenth_is_always_detected() -> None:
--- a/tests/rollout/test_rollout_controller.py
+++ b/tests/rollout/test_rollout_controller.py
@@ -35,7 +35,7 @@
 CLASSES = ("a", "b")
 
 FailureRate = Callable[[int, bool, int], float]
-"""Returns an instance's failure rate: by its number, whether it uses the new version, and the stage in effect."""
+"""Returns an instance's failure rate: by its number, whether it uses the new version, and the stage."""
 
 
 class SimulatedFleet:
--- a/tests/warm_state/__init__.py
+++ b/tests/warm_state/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of warm state."""
+"""Tests of `client_proxy.warm_state`."""
--- a/tests/warm_state/builders.py
+++ b/tests/warm_state/builders.py
@@ -1,4 +1,4 @@
-"""Balancers for the tests of warm state."""
+"""Builds balancers with and without warm state for the tests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def make_warm_driver(seed: int = 1) -> Driver:
-    """One whose balancer knows which server is slow and which one fails."""
+    """Return a driver whose balancer has learned which server is slow and which one fails."""
     driver = Driver(seed=seed)
     for _ in range(150):
         request, _ = driver.request()
@@ -29,7 +29,13 @@
 def make_cold_balancer(
     driver: Driver, after_ms: float = 0.0, slow_started_ms: float | None = None
 ) -> Balancer:
-    """One that knows nothing of the driver's servers, at a time after the driver's."""
+    """Return a new balancer for the driver's servers, without statistics.
+
+    Args:
+        driver: Its time is the start of the balancer's time.
+        after_ms: Added to the driver's time.
+        slow_started_ms: Start time of the slow server; None: unknown.
+    """
     balancer = Balancer(SETTINGS, 9)
     servers = (endpoint("s1"), endpoint(FAILING_SERVER), endpoint(SLOW_SERVER, started_ms=slow_started_ms))
     balancer.handle(driver.now_ms + after_ms, [full(*servers)])
--- a/tests/warm_state/test_in_flight_handover.py
+++ b/tests/warm_state/test_in_flight_handover.py
@@ -1,4 +1,4 @@
-"""Attempts of an earlier balancer, counted at the active one."""
+"""Tests of counting the attempts of an earlier balancer at the active one."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
     assert known.in_flight == 0
     balancer.handle(driver.now_ms + 900, [])
     handover.sent(server, None)
-    assert known.awaiting_since_ms == driver.now_ms + 900  # No answer was due before.
+    assert known.awaiting_since_ms == driver.now_ms + 900  # no attempt was in flight before
     handover.ended(server, None, Outcome.CANCELLED)
-    handover.sent(server, 77.0)  # of another start of the server
+    handover.sent(server, 77.0)  # for another start time of the server
     assert known.in_flight == 0
 
 
--- a/tests/warm_state/test_restore.py
+++ b/tests/warm_state/test_restore.py
@@ -1,4 +1,4 @@
-"""Snapshots of warm state: restored by their age, and never beyond a guard of a new balancer."""
+"""Tests that snapshots are restored according to their age, and never beyond a new balancer's guards."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.warm_state.builders import SLOW_SERVER, make_cold_balancer, make_warm_driver
 
 
-def test_a_new_balancer_knows_what_the_old_one_knew() -> None:
+def test_a_new_balancer_has_the_restored_state_of_the_old_one() -> None:
     driver = make_warm_driver()
     old, new = driver.balancer, make_cold_balancer(driver)
     assert restore_snapshot(new, capture_snapshot(old)) == 3
@@ -36,7 +36,7 @@
     assert new.retry_budget.tokens < RETRY_BUDGET_CAPACITY
 
 
-def test_a_snapshot_counts_less_the_older_it_is_and_in_the_end_not_at_all() -> None:
+def test_an_older_snapshot_has_less_weight_and_one_over_the_maximum_age_none() -> None:
     driver = make_warm_driver()
     snapshot = capture_snapshot(driver.balancer)
     payoffs = []
@@ -49,7 +49,7 @@
     assert confidence(HALF_LIFE_MS) == pytest.approx(0.5)
 
 
-def test_a_server_that_has_restarted_since_is_a_new_one() -> None:
+def test_a_server_that_has_restarted_since_counts_as_new() -> None:
     driver = make_warm_driver()
     balancer = make_cold_balancer(driver, slow_started_ms=driver.now_ms)
     assert restore_snapshot(balancer, capture_snapshot(driver.balancer)) == 2
@@ -58,7 +58,7 @@
 
 
 def test_starts_are_compared_on_a_clock_that_both_processes_share() -> None:
-    """The balancers' own clocks differ by 5 s; the first server started once."""
+    """The clocks of the balancers differ by 5 s; the first server has not restarted."""
     driver = Driver(endpoints=(endpoint("s1", started_ms=100.0), endpoint("s2", started_ms=200.0)))
     snapshot = capture_snapshot(driver.balancer, offset_ms=10_000.0)
     balancer = Balancer(SETTINGS, 9)
@@ -69,10 +69,10 @@
     assert balancer.endpoint_set.endpoints["s2"].concurrency_limit == 1.0
 
 
-def test_a_snapshot_of_another_form_is_not_restored() -> None:
+def test_a_snapshot_of_another_format_is_not_restored() -> None:
     driver = make_warm_driver()
-    other_form = replace(capture_snapshot(driver.balancer), form=SNAPSHOT_FORMAT + 1)
-    assert restore_snapshot(make_cold_balancer(driver), other_form) == 0
+    other_format = replace(capture_snapshot(driver.balancer), form=SNAPSHOT_FORMAT + 1)
+    assert restore_snapshot(make_cold_balancer(driver), other_format) == 0
 
 
 def test_keys_of_a_later_program_are_ignored_and_missing_ones_have_defaults() -> None:
@@ -84,7 +84,7 @@
     assert restore_snapshot(make_cold_balancer(driver), snapshot) == 3
 
 
-def test_a_restart_in_a_failure_brings_no_full_retry_budget_and_no_new_attempt_window() -> None:
+def test_a_restart_during_a_failure_does_not_refill_the_retry_budget_or_the_attempt_limit() -> None:
     settings = replace(SETTINGS, safety=replace(SETTINGS.safety, attempts=AttemptLimit(10_000.0, 0.0, 2.0)))
     driver = Driver(settings)
     driver.balancer.retry_budget.tokens = 5.0
@@ -99,7 +99,9 @@
 
 
 @given(st.integers(0, 10**7), st.floats(-5, 1e4), st.floats(-1e3, 1e4), st.integers(0, 10**9))
-def test_nothing_is_restored_beyond_a_guard(age_ms: int, limit: float, tokens: float, paused_ms: int) -> None:
+def test_restored_state_never_exceeds_the_guards(
+    age_ms: int, limit: float, tokens: float, paused_ms: int
+) -> None:
     driver = Driver()
     snapshot = capture_snapshot(driver.balancer)
     server = replace(snapshot.servers["s1"], limit=limit, paused_ms=paused_ms)
--- a/tests/warm_state/test_snapshot_store.py
+++ b/tests/warm_state/test_snapshot_store.py
@@ -1,4 +1,4 @@
-"""Files of snapshots: read back whole or not at all, and used after a restart of a real process."""
+"""Tests of snapshot files: loaded completely or not at all, and used after a restart of a real process."""
 
 from __future__ import annotations
 
@@ -30,30 +30,32 @@
     assert load_snapshot(path, 0.0) is None
     save_snapshot(path, StoredSnapshot(1000.0, SNAPSHOT))
     assert load_snapshot(path, 4000.0) == LoadedSnapshot(SNAPSHOT, 3000.0)
-    assert load_snapshot(path, 500.0) == LoadedSnapshot(SNAPSHOT, 0.0)  # a clock set back by half a second
+    assert load_snapshot(path, 500.0) == LoadedSnapshot(
+        SNAPSHOT, 0.0
+    )  # the clock was set back by half a second
     assert load_snapshot(path, -10_000.0) is None
     assert load_snapshot(path, 1000.0 + MAX_AGE_MS) is None
 
 
-def test_a_torn_or_spoilt_file_or_one_of_another_form_is_not_loaded(path: Path) -> None:
+def test_a_truncated_or_damaged_file_or_one_of_another_format_is_not_loaded(path: Path) -> None:
     save_snapshot(path, StoredSnapshot(1000.0, SNAPSHOT))
-    whole = path.read_bytes()
-    for length in (0, 5, 20, len(whole) - 1):
-        path.write_bytes(whole[:length])
+    complete = path.read_bytes()
+    for length in (0, 5, 20, len(complete) - 1):
+        path.write_bytes(complete[:length])
         assert load_snapshot(path, 4000.0) is None
-    path.write_bytes(whole[:-1] + bytes([whole[-1] ^ 1]))
+    path.write_bytes(complete[:-1] + bytes([complete[-1] ^ 1]))
     assert load_snapshot(path, 4000.0) is None
     save_snapshot(path, StoredSnapshot(1000.0, replace(SNAPSHOT, form=SNAPSHOT_FORMAT + 1)))
     assert load_snapshot(path, 4000.0) is None
 
 
-def test_a_disk_that_fails_leaves_the_file_as_it_was(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_disk_write_leaves_the_file_unchanged(path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     save_snapshot(path, StoredSnapshot(1000.0, SNAPSHOT))
 
-    def raise_full(handle: int) -> None:
+    def raise_disk_full(handle: int) -> None:
         raise OSError(28, "no space left")
 
-    monkeypatch.setattr("os.fsync", raise_full)
+    monkeypatch.setattr("os.fsync", raise_disk_full)
     with pytest.raises(OSError, match="no space left"):
         save_snapshot(path, StoredSnapshot(2000.0, SNAPSHOT))
     monkeypatch.undo()
@@ -69,7 +71,7 @@
         fault=(FaultTable(kind="term", who=("i1",), at_s=1.0, for_s=0.5),),
     )  # fmt: skip
     verdict = asyncio.run(scenario_runner.run(plan, tmp_path / "d"))
-    # Other scenarios show how soon it serves again; here it is what the restarted process knew.
+    # Other scenarios test how soon the instance serves again; this one tests that it restored its warm state.
     assert verdict.outcome != "error", (verdict.why, verdict.breaches[:3])
     log = (Path(verdict.folder) / "i1.log").read_text()
     assert log.count("what was learned of 4 servers goes on") == 1
