--- a/client_proxy/config/__init__.py
+++ b/client_proxy/config/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' files: what may stand in them, when a version counts as whole, and which versions are kept."""
+"""Configuration files: their keys, when a new version is accepted, and the stored versions."""
--- a/client_proxy/config/models.py
+++ b/client_proxy/config/models.py
@@ -1,7 +1,7 @@
-"""The keys of the operators' files, as models of the library pydantic.
+"""Pydantic models of the configuration files, which are TOML.
 
-The description of each key here is what the reference page and the JSON schema say of it. Files are TOML; a
-fault is reported with file, line and key, and all faults of a file at once.
+The reference page and the JSON schema print the descriptions of the keys. All faults of a file are reported
+together, each with file, line and key.
 """
 
 from __future__ import annotations
@@ -14,38 +14,37 @@
 
 from client_proxy.toml_table import TomlError, line_numbers
 
-MAX_SERVERS = 10_000
+MAX_SERVERS = 10_000  # servers in one file
 ModelT = TypeVar("ModelT", bound=BaseModel)
 
 
-def _address(text: str) -> str:
+def _check_address(text: str) -> str:
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
-        known = 0 < int(port) < 65536
+        valid = 0 < int(port) < 65536
     except ValueError:
-        known = False
-    if not known:
+        valid = False
+    if not valid:
         raise ValueError(
             "an address of the form IP:port is needed (IPv6 in brackets); there are no name look-ups"
         )
     return text
 
 
-def _listen(text: str) -> str:
+def _check_listen_address(text: str) -> str:
     if text.endswith(":0"):
-        _address(text[:-1] + "1")
+        _check_address(text[:-1] + "1")
         return text
-    return _address(text)
+    return _check_address(text)
 
 
-Address = Annotated[str, AfterValidator(_address)]
+Address = Annotated[str, AfterValidator(_check_address)]
 Name = Annotated[str, Field(min_length=1, max_length=128)]
 
 
 class Model(BaseModel):
-    """Unknown keys are faults; values are of the kind they should be, not of one that could be turned into
-    it."""
+    """Base of all models: unknown keys are faults, and values are not converted to the type of their key."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
@@ -69,7 +68,7 @@
 
 
 class End(Model):
-    """`[end]`, the last table: it shows that the file is whole."""
+    """`[end]`, the last table of a file: it shows that the file is complete."""
 
     version: int = Field(ge=0, description="the same as at the top")
     digest: str = Field(
@@ -78,7 +77,7 @@
 
 
 class FleetFile(Model):
-    """The servers. With `version` and `[end]` a half-written file can't be taken for a whole one."""
+    """A server file. With `version` and `[end]`, an incomplete file is detected and not accepted."""
 
     version: int | None = Field(None, ge=0, description="higher than that of the file before")
     server: tuple[ServerEntry, ...] = Field((), max_length=MAX_SERVERS, description="the servers")
@@ -86,7 +85,7 @@
 
 
 class RequestClassEntry(Model):
-    """`[[class]]`: a kind of requests, told by the first part of their path."""
+    """`[[class]]`: a class of requests, identified by the first segment of their path."""
 
     name: Name = Field(description="the first part of the path: `/name/...`")
     effect: Literal["safe", "keyed", "unsafe"] = Field(
@@ -100,66 +99,70 @@
 
 
 class PolicyTable(Model):
-    """`[policy]`: with it the file states all that the fleet decides by, and what instances' own files say of
-    classes, of these keys and of features no longer counts."""
+    """`[policy]`: with this table the policy file states the whole policy.
+
+    Classes, features and the keys of this table in the files of the instances are then ignored.
+    """
 
     program: str = Field(
         "0",
         pattern=r"^\d{1,4}(\.\d{1,4}){0,3}$",
-        description="the least version of the program that takes it",
+        description="lowest version of the program that can use this policy",
     )
-    attempts: int = Field(3, ge=1, le=10, description="for one request at most")
-    cold_s: float = Field(7.5, ge=0, description="a server that has just started is warm after this")
-    cold_share: float = Field(0.3, gt=0, le=1, description="and bears this share at the start")
-    idle_s: float = Field(60.0, gt=0, description="servers close connections that are idle for so long")
-    retry_after: bool = Field(True, description="refusals say when to come back")
+    attempts: int = Field(3, ge=1, le=10, description="maximum number of attempts of one request")
+    cold_s: float = Field(7.5, ge=0, description="duration of slow start after a server has started")
+    cold_share: float = Field(0.3, gt=0, le=1, description="share of the load at the beginning of slow start")
+    idle_s: float = Field(60.0, gt=0, description="idle time after which servers close a connection")
+    retry_after: bool = Field(True, description="rejections state when to retry")
 
 
 class RolloutPlan(Model):
-    """What operators state of a rollout, in a file of its own."""
+    """File with the operator's plan of a rollout."""
 
     shares: tuple[float, ...] = Field(
-        (0.05, 0.25, 0.5, 1.0), min_length=1, max_length=20, description="of the instances, by stage"
+        (0.05, 0.25, 0.5, 1.0), min_length=1, max_length=20, description="share of the instances, by stage"
     )
-    past_s: float = Field(15.0, ge=1, le=3600, description="of looking, before the first stage")
-    warm_s: float = Field(5.0, ge=0, le=3600, description="of each stage that are not judged")
-    least_s: float = Field(20.0, ge=1, le=86_400, description="of each stage that are")
-    least_requests: int = Field(200, ge=1, description="of those that go by the new one, in a stage")
-    most_s: float = Field(300.0, ge=1, le=86_400, description="then `undecided` holds")
-    borne: float = Field(0.02, gt=0, lt=1, description="a share lost more up to which it is as good")
-    alpha: float = Field(0.01, gt=0, lt=0.5, description="chance of a false stop, over stages and classes")
-    undecided: Literal["ask", "go-on"] = Field("ask", description="when nothing can be said")
-    confirm: tuple[int, ...] = Field((), description="stages that people have to let begin")
+    past_s: float = Field(15.0, ge=1, le=3600, description="length of the baseline before the first stage")
+    warm_s: float = Field(5.0, ge=0, le=3600, description="first part of each stage, which is not compared")
+    least_s: float = Field(20.0, ge=1, le=86_400, description="minimum time for which a stage is compared")
+    least_requests: int = Field(200, ge=1, description="minimum of requests with the new policy, by stage")
+    most_s: float = Field(300.0, ge=1, le=86_400, description="stage length after which `undecided` applies")
+    borne: float = Field(0.02, gt=0, lt=1, description="tolerated difference of the failure rates")
+    alpha: float = Field(0.01, gt=0, lt=0.5, description="chance of a false alarm, over stages and classes")
+    undecided: Literal["ask", "go-on"] = Field("ask", description="what a stage without verdict does")
+    confirm: tuple[int, ...] = Field((), description="stages that an operator must confirm")
 
 
 class RolloutTable(RolloutPlan):
-    """`[rollout]`: a new policy beside the old one, in stages. Written by `client-proxy rollout`."""
-
-    name: str = Field(min_length=1, max_length=40, description="of the rollout")
-    new: str = Field(min_length=1, description="the text of the new policy, a whole file")
-    stage: int = Field(0, ge=0, le=20, description="0: all go by the old one, and are looked at")
-    members: tuple[int, ...] = Field((), max_length=10_000, description="who goes by the new one")
-    what: Literal["running", "probing", "asks", "paused"] = Field("running", description="how it stands")
-    reason: str = Field("", max_length=300, description="and why")
-    probes: int = Field(0, ge=0, le=9, description="times that the stage was taken back, to see")
+    """`[rollout]`: a new policy that is rolled out in stages. Written by `client-proxy rollout`."""
+
+    name: str = Field(min_length=1, max_length=40, description="name of the rollout")
+    new: str = Field(min_length=1, description="text of the new policy, a complete policy file")
+    stage: int = Field(0, ge=0, le=20, description="0: all use the old policy, for the baseline")
+    members: tuple[int, ...] = Field((), max_length=10_000, description="members that use the new policy")
+    what: Literal["running", "probing", "asks", "paused"] = Field(
+        "running", description="phase of the rollout"
+    )
+    reason: str = Field("", max_length=300, description="why the rollout is in this phase")
+    probes: int = Field(0, ge=0, le=9, description="probes of this stage that are over")
 
 
 class PolicyFile(FleetFile):
-    """What the fleet agrees on: the servers and, with `[policy]`, classes, limits and features."""
+    """The agreed policy file: servers and, with `[policy]`, classes, limits and features."""
 
-    policy: PolicyTable | None = Field(None, description="the file states the whole policy")
+    policy: PolicyTable | None = Field(None, description="with this table the file states the whole policy")
     class_: tuple[RequestClassEntry, ...] = Field(
-        (), alias="class", max_length=200, description="the kinds of requests"
+        (), alias="class", max_length=200, description="the classes of requests"
     )
     halls: dict[str, Any] | None = Field(None, description="as in the operators' file of features")
     overload: dict[str, Any] | None = Field(None, description="as in the operators' file of features")
     connections: dict[str, Any] | None = Field(None, description="as in the operators' file of features")
     reach: dict[str, Any] | None = Field(None, description="as in the operators' file of features")
-    rollout: RolloutTable | None = Field(None, description="a new policy in stages")
+    rollout: RolloutTable | None = Field(None, description="a rollout of a new policy")
 
 
 class ServersTable(Model):
-    """`[servers]`: the watched file."""
+    """`[servers]`: the watched server file."""
 
     file: str = Field(min_length=1, description="path of the file of servers, relative to this one")
     look_ms: float = Field(200.0, ge=1, le=60_000, description="between two looks at the file")
@@ -181,7 +184,7 @@
 
 
 class SeatEntry(Model):
-    """`[[agreement.seat]]`: an instance that votes."""
+    """`[[agreement.seat]]`: an instance that is an acceptor or may become one."""
 
     member: int = Field(ge=0, description="its number, as on its card")
     address: Address = Field(description="where it listens for the agreement, `IP:port`, UDP and TCP")
@@ -190,11 +193,15 @@
 
 
 class AgreementTable(Model):
-    """`[agreement]`: the policy is agreed on by the fleet: the list of servers, in the place of `[servers]`,
-    and all else that the agreed file states."""
+    """`[agreement]`: the instances agree on the policy file by consensus.
+
+    The agreed file replaces `[servers]`, and all else that it states.
+    """
 
     keys: str = Field(min_length=1, description="this instance's key file, relative to this one")
-    listen: Annotated[str, AfterValidator(_listen)] = Field(description="UDP and TCP, `IP:port`")
+    listen: Annotated[str, AfterValidator(_check_listen_address)] = Field(
+        description="UDP and TCP, `IP:port`"
+    )
     first: str = Field(min_length=1, description="the file that is version 1, the same everywhere")
     keep: str = Field(min_length=1, description="folder for votes, versions and bodies")
     lease_ms: float = Field(3000.0, ge=100, le=600_000, description="an instance decides so long by a lease")
@@ -211,17 +218,17 @@
 
 
 class LogTable(Model):
-    """`[log]`"""
+    """`[log]`: the format of the log and its rate limit."""
 
     form: Literal["text", "json"] = Field("text", description="lines for people, or a JSON object each")
     per_event_per_s: float = Field(20.0, gt=0, description="lines a second of one event; the rest is counted")
 
 
 class ServeFile(Model):
-    """What `client-proxy serve` reads."""
+    """The file of one instance, read by `client-proxy serve`."""
 
     name: Name = Field("badgeryoke", description="this instance's name")
-    listen: Annotated[str, AfterValidator(_listen)] = Field(
+    listen: Annotated[str, AfterValidator(_check_listen_address)] = Field(
         "127.0.0.1:8080", description="where applications reach it"
     )
     discovery: Address | None = Field(
@@ -249,57 +256,72 @@
     log: LogTable = Field(default_factory=LogTable, description="the log")
 
 
-def _line_of(found: dict[tuple[str, int, str], int], loc: tuple[int | str, ...]) -> int:
-    """Return the line of a fault, by pydantic's location of it: names, and numbers of tables in a list."""
+def _fault_line(lines_by_key: dict[tuple[str, int, str], int], location: tuple[int | str, ...]) -> int:
+    """Return the line number of a fault.
+
+    Args:
+        lines_by_key: Line numbers by table, number of the table in its list, and key. The key of a table's
+            header is empty.
+        location: Pydantic's location of the fault: names of tables and keys, and numbers of tables in a list.
+    """
     table, number, line = "", 0, 1
-    for part in loc:
+    for part in location:
         if isinstance(part, int):
             number = part
         else:
             inner = f"{table}.{part}" if table else part
-            line = found.get((table, number, part)) or found.get((inner, 0, "")) or line
-            if (inner, 0, "") in found:
+            line = lines_by_key.get((table, number, part)) or lines_by_key.get((inner, 0, "")) or line
+            if (inner, 0, "") in lines_by_key:
                 table, number = inner, 0
-        line = found.get((table, number, "")) or line if isinstance(part, int) else line
+        line = lines_by_key.get((table, number, "")) or line if isinstance(part, int) else line
     return line
 
 
-def _message(error: Any) -> str:
-    kind, given = error["type"], error.get("input")
-    if kind == "missing":
+def _fault_text(error: Any) -> str:
+    fault_type, value = error["type"], error.get("input")
+    if fault_type == "missing":
         return "missing"
-    if kind == "extra_forbidden":
+    if fault_type == "extra_forbidden":
         return "not a known key"
     text = str(error["msg"]).removeprefix("Value error, ")
     text = text[:1].lower() + text[1:]
-    return f"{given!r:.80}: {text}" if not isinstance(given, dict | list | tuple) else text
+    return f"{value!r:.80}: {text}" if not isinstance(value, dict | list | tuple) else text
 
 
 def parse(model: type[ModelT], text: str, name: str) -> ModelT:
     """Read a TOML text into a model.
 
-    Raises TomlError with a line for each fault: file, line, key, and what would be right.
+    Args:
+        model: Model of the file.
+        text: The file.
+        name: Name of the file, for messages.
+
+    Raises:
+        TomlError: The file is not valid; the text has a line for each fault, with file, line, key and what is
+            allowed.
     """
     try:
-        raw = tomllib.loads(text)
+        table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise TomlError(f"{name}: {error}") from None
     try:
-        # Lists of TOML become the tuples of the models, which are frozen.
-        return model.model_validate(_tuples(raw))
+        # The models are strict and have tuples, while tomllib returns lists.
+        return model.model_validate(_lists_to_tuples(table))
     except ValidationError as error:
-        found = line_numbers(text)
-        faults = [(_line_of(found, fault["loc"]), fault) for fault in error.errors(include_url=False)]
+        lines_by_key = line_numbers(text)
+        faults = [
+            (_fault_line(lines_by_key, fault["loc"]), fault) for fault in error.errors(include_url=False)
+        ]
         lines = [
-            f"{name}:{line}: {'.'.join(str(part) for part in fault['loc'])}: {_message(fault)}"
+            f"{name}:{line}: {'.'.join(str(part) for part in fault['loc'])}: {_fault_text(fault)}"
             for line, fault in sorted(faults, key=lambda located: located[0])
         ]
         raise TomlError("\n".join(lines)) from None
 
 
-def _tuples(value: Any) -> Any:
+def _lists_to_tuples(value: Any) -> Any:
     if isinstance(value, dict):
-        return {key: _tuples(item) for key, item in value.items()}
+        return {key: _lists_to_tuples(item) for key, item in value.items()}
     if isinstance(value, list):
-        return tuple(_tuples(item) for item in value)
+        return tuple(_lists_to_tuples(item) for item in value)
     return value
--- a/client_proxy/config/policy.py
+++ b/client_proxy/config/policy.py
@@ -1,6 +1,7 @@
-"""One version of what the fleet decides by: servers and, where it states them, classes, limits and features.
+"""Reads policy files: servers and, if the file has `[policy]`, request classes, limits and features.
 
-Read from a file's bytes, completely or not at all. No I/O."""
+A file is read completely or rejected. This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -14,16 +15,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """One version of what the fleet decides by.
+    """One version of the policy.
 
     Attributes:
         server_list: The servers.
-        table: The policy; None: the file is a list of servers alone, and classes and features are those of
-            the instance's own files.
+        table: The `[policy]` table; None: the file has servers only, and each instance takes classes and
+            features from its own files.
         classes: The request classes.
         operators: The features.
-        rollout: The rollout of another policy, if there is one.
-        candidate: The policy that is rolled out.
+        rollout: The rollout of a new policy, if one is in progress.
+        candidate: The new policy of this rollout.
     """
 
     server_list: ServerList
@@ -34,26 +35,41 @@
     candidate: Policy | None = None
 
     def for_member(self, member: int) -> Policy:
-        """Return the policy that this member goes by, during a rollout."""
+        """Return the policy that a member uses.
+
+        During a rollout this is the candidate for members of the canary group, except while a probe runs.
+        """
         if self.rollout is None or self.candidate is None or self.rollout.what == "probing":
             return self
         return self.candidate if member in self.rollout.members else self
 
 
 def read_policy(content: bytes, name: str) -> Policy:
-    """Read a policy file. Raises TomlError with a line for each fault."""
+    """Read a policy file.
+
+    Args:
+        content: The file.
+        name: Name of the file, for messages.
+
+    Raises:
+        TomlError: The file is not valid; the text has a line for each fault.
+    """
     parsed = read_server_file(PolicyFile, content, name)
     file = parsed.file
     faults = []
     if file.policy is None:
-        more = [key for key in FEATURES if getattr(file, key) is not None] + ["class"] * bool(file.class_)
-        # Half of a policy in this file and half in each instance's own would differ between instances.
-        faults += [f"{name}: {key}: the file states no whole policy: [policy] is missing" for key in more]
+        policy_keys = [key for key in FEATURES if getattr(file, key) is not None] + ["class"] * bool(
+            file.class_
+        )
+        # With a part of the policy in this file and a part in each instance's files, instances would differ.
+        faults += [
+            f"{name}: {key}: only allowed with a whole policy, and [policy] is missing" for key in policy_keys
+        ]
     elif not file.class_:
-        faults.append(f"{name}: class: a whole policy has at least one [[class]]")
+        faults.append(f"{name}: class: a file with [policy] needs at least one [[class]]")
     names = [entry.name for entry in file.class_]
-    twice = [class_name for class_name in sorted(set(names)) if names.count(class_name) > 1]
-    faults += [f"{name}: class.name: {class_name!r} stands more than once" for class_name in twice]
+    duplicates = [class_name for class_name in sorted(set(names)) if names.count(class_name) > 1]
+    faults += [f"{name}: class.name: {class_name!r} stands more than once" for class_name in duplicates]
     if faults:
         raise TomlError("\n".join(faults))
     operators = NOTHING
@@ -72,37 +88,40 @@
 
 
 def _check_classes(operators: Operators, classes: list[str], name: str) -> None:
-    """Raises TomlError where features name what the policy does not have."""
+    """Raise TomlError if the overload feature names classes that the policy does not have."""
     overload = operators.overload
     if overload is None:
         return
     unknown = sorted({*overload.class_order, *overload.min_shares} - set(classes))
     if unknown:
         raise TomlError(
-            "\n".join(f"{name}: overload: there is no class {class_name!r}" for class_name in unknown)
+            "\n".join(
+                f"{name}: overload: there is no class {class_name!r} in this file" for class_name in unknown
+            )
         )
 
 
 def describe_policy_changes(old: Policy, new: Policy) -> list[str]:
-    """Return line by line what changes from one policy to the other."""
+    """Return a line for each server, class, `[policy]` table and feature that differs."""
     lines = describe_server_changes(old.server_list, new.server_list)
     before, after = ({entry.name: entry.model_dump() for entry in policy.classes} for policy in (old, new))
     lines += [f"- class {name}" for name in sorted(before.keys() - after.keys())]
     lines += [f"+ class {name}" for name in sorted(after.keys() - before.keys())]
     for name in sorted(before.keys() & after.keys()):
-        lines += _changed(f"class {name}", before[name], after[name])
+        lines += _describe_key_changes(f"class {name}", before[name], after[name])
     old_table, new_table = (policy.table.model_dump() if policy.table else {} for policy in (old, new))
-    lines += _changed("policy", old_table, new_table)
+    lines += _describe_key_changes("policy", old_table, new_table)
     for key in FEATURES:
-        was, now = getattr(old.operators, key), getattr(new.operators, key)
-        if was != now:
+        old_feature, new_feature = getattr(old.operators, key), getattr(new.operators, key)
+        if old_feature != new_feature:
             lines.append(
-                f"  {key}: {'off' if was is None else 'on'} -> {'off' if now is None else 'on, changed'}"
+                f"  {key}: {'off' if old_feature is None else 'on'} -> "
+                f"{'off' if new_feature is None else 'on, changed'}"
             )
     return lines
 
 
-def _changed(what: str, old: dict[str, object], new: dict[str, object]) -> list[str]:
+def _describe_key_changes(title: str, old: dict[str, object], new: dict[str, object]) -> list[str]:
     keys = [key for key in {**old, **new} if old.get(key) != new.get(key)]
     changed = ", ".join(f"{key} {old.get(key)!r} -> {new.get(key)!r}" for key in keys)
-    return [f"  {what}: {changed}"] if keys else []
+    return [f"  {title}: {changed}"] if keys else []
--- a/client_proxy/config/reference.py
+++ b/client_proxy/config/reference.py
@@ -1,4 +1,4 @@
-"""The reference page of all keys, made from the models, so that it says what is checked."""
+"""Generates the reference page of the configuration keys from the models that check them."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def reference_page() -> str:
-    """Return the page, in Markdown."""
+    """Return the reference page, in Markdown."""
     lines = [
         "# Reference of the configuration",
         "",
--- a/client_proxy/config/source.py
+++ b/client_proxy/config/source.py
@@ -1,9 +1,9 @@
-"""The watched file of servers, in the place of a discovery service.
+"""Endpoint source that takes the servers from a watched file instead of a discovery service.
 
-The file is polled. Options weighed in docs/design/configuration.md; what decided: a poll costs some 20 us,
-works on every file system, follows a symlink that is swung and a folder that is made anew, and can't
-overflow. What a poll finds is judged by `file_watcher.py`; what is accepted goes to the balancer as a
-complete list, as discovery's snapshots do, so that drains, slow start and the guard hold.
+The file is polled (docs/design/configuration.md compares alternatives): a poll costs some 20 us, works on
+every file system, follows a symlink that is redirected and a folder that is created again, and has no event
+queue that could overflow. `file_watcher` decides about the content. An accepted version goes to the balancer
+as a complete endpoint list, like a snapshot of discovery, so that drains, slow start and the send guard apply.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CHANGES = 32  # kept, for those who ask for the latest
-# A file system whose times are coarse shows no second change within one tick of its clock: after a change the
-# file is read at each poll for so long.
+MAX_CHANGES = 32  # latest changes that the control socket can show
+# A file system with coarse timestamps does not show a second change within one tick of its clock, so the file
+# is read at each poll for this time after a change.
 COARSE_CLOCK_MS = 2000.0
 
 
 @dataclass(frozen=True, slots=True)
 class FileStamp:
-    """What shows that a file may have changed."""
+    """Metadata of a file; if they differ, the file may have changed."""
 
     device: int
     inode: int
@@ -50,13 +50,19 @@
     changed_ns: int
 
     @classmethod
-    def from_stat(cls, found: os.stat_result) -> FileStamp:
-        """Return the stamp of a file by what the system says of it."""
-        return cls(found.st_dev, found.st_ino, found.st_size, found.st_mtime_ns, found.st_ctime_ns)
+    def from_stat(cls, status: os.stat_result) -> FileStamp:
+        """Return the stamp from the result of `os.stat`."""
+        return cls(
+            status.st_dev,
+            status.st_ino,
+            status.st_size,
+            status.st_mtime_ns,
+            status.st_ctime_ns,
+        )
 
 
 def read_consistent(path: Path) -> tuple[FileStamp, bytes] | None:
-    """Read a file; None: it is not there, can't be read, or changed while it was read."""
+    """Read a file; return None if it is missing, unreadable or changed while it was read."""
     try:
         with path.open("rb") as file:
             before = FileStamp.from_stat(os.fstat(file.fileno()))
@@ -68,13 +74,13 @@
 
 
 class FileSource:
-    """Does what `Discovery` does, from a file.
+    """Endpoint source with the interface of `Discovery` that watches a file.
 
     Attributes:
-        watcher: Judges what the file holds.
-        changes: The latest changes, a line each.
-        from_store: The active version is a kept one: the file was not usable at the start.
-        accepted: How many versions have been accepted.
+        watcher: Decides which content of the file becomes active.
+        changes: The latest `MAX_CHANGES` decisions, one line each.
+        from_store: The active version is from the version store, as the file was not usable at the start.
+        accepted: Number of versions that have been applied.
     """
 
     def __init__(
@@ -86,15 +92,15 @@
         notify: Callable[[EndpointsListed], None],
         store: VersionStore | None = None,
     ) -> None:
-        """Make a source that does not poll yet.
+        """Create a source that does not poll yet.
 
         Args:
             path: The file.
-            poll_interval_ms: Between two polls.
-            settings: How the file is judged.
-            directory: Takes in each version that is accepted.
-            notify: Called with each list.
-            store: Keeps the versions; None: they are not kept.
+            poll_interval_ms: Time between two polls.
+            settings: When a version is accepted.
+            directory: Endpoint list to which each accepted version is applied.
+            notify: Called with each resulting event.
+            store: Stores the accepted versions; None: they are not stored.
         """
         self._path, self._poll_interval_s = path, poll_interval_ms / 1000.0
         self._directory, self._notify, self._version_store = directory, notify, store
@@ -104,27 +110,26 @@
         self.accepted = 0
         self._stamp: FileStamp | None = None
         self._settled_ms = 0.0
-        self._since: dict[
-            str, tuple[Address, int]
-        ] = {}  # when servers came, of those that came while this ran
+        # By server name: the address, and the start time in ms of Unix time; 0: the server counts as warm.
+        self._start_times: dict[str, tuple[Address, int]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._stopped = False
 
-    # As `Discovery`
+    # The interface of `Discovery`
 
     def start(self) -> None:
-        """Poll now, and from now on."""
+        """Poll now, and then repeatedly."""
         self._poll(first=True)
 
     def subscribe(self) -> None:
-        """Answer the balancer's call: it has been notified of all there is."""
+        """Answer the balancer's subscription with an empty change: it already has the list."""
         self._notify(EndpointsListed(ListKind.DELTA))
 
     def move(self, address: Address) -> None:
-        """Do nothing: there is no service to move to."""
+        """Do nothing: there is no discovery service whose address could change."""
 
     def stop(self) -> None:
-        """Poll no more."""
+        """Stop polling."""
         self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
@@ -142,41 +147,41 @@
         self._timer = asyncio.get_running_loop().call_later(self._poll_interval_s, self._poll)
 
     def _read_changes(self, now: float) -> list[WatchResult]:
-        """Read only what may have changed, or has still to settle."""
+        """Read the file if it may have changed or changed recently, and return the decisions that follow."""
         try:
             stamp: FileStamp | None = FileStamp.from_stat(os.stat(self._path))
         except OSError:
             stamp = None
         if stamp is not None and stamp == self._stamp and now > self._settled_ms:
             return self.watcher.handle_unchanged_poll(now)
-        found = read_consistent(self._path)
-        if found is None:
+        stamped_content = read_consistent(self._path)
+        if stamped_content is None:
             self._stamp = None
             return self.watcher.handle_poll(now, None)
-        read_stamp, content = found
+        read_stamp, content = stamped_content
         if read_stamp != self._stamp:
             self._stamp = read_stamp
             self._settled_ms = now + self.watcher.settings.settle_ms + COARSE_CLOCK_MS
         return self.watcher.handle_poll(now, content)
 
     def _restore_from_store(self) -> None:
-        """Go on with the last good version.
+        """Activate the last good version from the store.
 
-        A restart in the middle of an edit, or after a bad one, would leave the instance without any server.
+        Otherwise a restart during an edit, or after a faulty one, would leave the instance without servers.
         """
         if self._version_store is None:
             return
         good = self._version_store.last_good()
         for fault in self._version_store.faults():
-            log.warning("kept version passed over: %s", fault)
+            log.warning("stored version skipped: %s", fault)
         if good is not None:
             self.from_store = True
-            log.warning("%s is not usable: going on with the kept version %d", self._path, good[0].number)
+            log.warning("%s is not usable: using the stored version %d", self._path, good[0].number)
             self.watcher.start(good[1])
             self._apply(good[1])
 
     def force(self) -> bool:
-        """Accept the version that is held back. False: there is none."""
+        """Accept the version that is held back; return whether there was one."""
         results = self.watcher.force()
         for result in results:
             self._handle(result)
@@ -184,48 +189,52 @@
 
     def _handle(self, result: WatchResult) -> None:
         match result:
-            case Accepted(fleet):
+            case Accepted(server_list):
                 self.from_store = False
-                self._note(f"taken: {_describe(fleet)}")
-                self._apply(fleet)
-                self._save(fleet)
-            case HeldBack(fleet, reason):
-                self._note(f"held back, the old list stands: {_describe(fleet)}: {reason}")
+                self._record_change(f"taken: {_summary(server_list)}")
+                self._apply(server_list)
+                self._save(server_list)
+            case HeldBack(server_list, reason):
+                self._record_change(f"held back, the old list stands: {_summary(server_list)}: {reason}")
             case Rejected(reason):
-                self._note(f"refused, the old list stands: {'; '.join(reason.splitlines()[:5])}")
+                self._record_change(f"refused, the old list stands: {'; '.join(reason.splitlines()[:5])}")
 
-    def _note(self, text: str) -> None:
+    def _record_change(self, text: str) -> None:
         log.info("%s", text)
         self.changes = [*self.changes[1 - MAX_CHANGES :], text]
 
-    def _save(self, fleet: ServerList) -> None:
+    def _save(self, server_list: ServerList) -> None:
         if self._version_store is None:
             return
         try:
-            self._version_store.save(fleet.content)
+            self._version_store.save(server_list.content)
         except OSError as error:
-            log.warning("the version can't be kept: %s", error)
+            log.warning("the version could not be stored: %s", error)
 
-    def _apply(self, fleet: ServerList) -> None:
-        begun = bool(self._directory.entries)
-        self._notify(self._directory.apply(self._message(fleet, begun)))
+    def _apply(self, server_list: ServerList) -> None:
+        has_predecessor = bool(self._directory.entries)
+        self._notify(self._directory.apply(self._list_message(server_list, has_predecessor)))
 
-    def _message(self, fleet: ServerList, begun: bool) -> dict[str, Any]:
-        """Return the version as a complete list of discovery.
+    def _list_message(self, server_list: ServerList, has_predecessor: bool) -> dict[str, Any]:
+        """Return the version in the format of a discovery snapshot.
 
-        A server that is new in the file has most likely just started, and has to warm up.
+        A server that is new in the file has probably just started, so it gets a slow start.
+
+        Args:
+            server_list: The version.
+            has_predecessor: Whether a version has been applied before.
         """
         now_unix_ms = int(now_ms() + unix_offset_ms())
         endpoints: list[dict[str, Any]] = []
-        since: dict[str, tuple[Address, int]] = {}
-        for server in fleet.servers:
+        start_times: dict[str, tuple[Address, int]] = {}
+        for server in server_list.servers:
             host, _, port = server.address.rpartition(":")
             address = host, int(port)
-            known = self._since.get(server.name)
-            if known is not None and known[0] == address:
-                since[server.name] = known
+            previous = self._start_times.get(server.name)
+            if previous is not None and previous[0] == address:
+                start_times[server.name] = previous
             else:
-                since[server.name] = address, now_unix_ms if begun and not server.warm else 0
+                start_times[server.name] = address, now_unix_ms if has_predecessor and not server.warm else 0
             endpoints.append(
                 {
                     "name": server.name,
@@ -234,14 +243,14 @@
                     "group": server.rack,
                     "weight": server.weight,
                     "status": "ready" if server.weight > 0 and server.state == "ready" else "draining",
-                    "since_ms": since[server.name][1],
+                    "since_ms": start_times[server.name][1],
                 }
             )
-        self._since = since
+        self._start_times = start_times
         self.accepted += 1
         return {"index": self.accepted, "snapshot": True, "endpoints": endpoints}
 
 
-def _describe(fleet: ServerList) -> str:
-    version = "" if fleet.version is None else f"version {fleet.version}, "
-    return f"{version}{len(fleet.servers)} servers, {fleet.digest[:8]}"
+def _summary(server_list: ServerList) -> str:
+    version = "" if server_list.version is None else f"version {server_list.version}, "
+    return f"{version}{len(server_list.servers)} servers, {server_list.digest[:8]}"
--- a/client_proxy/config/version_store.py
+++ b/client_proxy/config/version_store.py
@@ -1,12 +1,11 @@
-"""Accepted versions, kept on disk so that a start with a bad or missing file goes on with the last good one.
+"""Stores accepted versions on disk, so that a start with a faulty or missing file can use the last good one.
 
-A version is one file, `NUMBER-DIGEST.toml`: its content, under a number that rises and the digest of the
-content. A file whose content has another digest is torn or damaged: it is reported and passed over. It is
-written under a name of its own, synced, renamed, and the folder synced, in this order; so at any moment, and
-after a crash at any of these steps, every file under such a name is complete or can be seen not to be, and
-nothing that was kept is lost.
+A version is one file, `NUMBER-DIGEST.toml`, named by an increasing number and the digest of its content. A
+file whose content has another digest is damaged: it is reported and skipped. A new version is written to a
+draft file, synced and renamed, and then the folder is synced. So at any time, and after a crash at any of
+these steps, each version file is complete or recognizably damaged, and no stored version is lost.
 
-All disk access goes through `StorageFolder`, whose stand-in in the tests dies at every call in turn.
+All disk access goes through `StorageFolder`; the tests replace it by one that crashes at each call in turn.
 """
 
 from __future__ import annotations
@@ -21,12 +20,12 @@
 from client_proxy.config.fleet import MAX_BYTES, ServerList, digest_of, read_server_list
 from client_proxy.toml_table import TomlError
 
-_NAME = re.compile(r"^(\d{8})-([0-9a-f]{32})\.toml$")
-_DRAFT = re.compile(r"^\.draft-(\d+)-")
+_VERSION_NAME = re.compile(r"^(\d{8})-([0-9a-f]{32})\.toml$")
+_DRAFT_NAME = re.compile(r"^\.draft-(\d+)-")
 
 
 class StorageFolder(Protocol):
-    """One folder of files. All methods raise OSError."""
+    """A folder of files. All methods raise OSError if the disk access fails."""
 
     def names(self) -> list[str]:
         """Return the names of its files."""
@@ -41,14 +40,14 @@
         """Rename a file in one step."""
 
     def sync(self) -> None:
-        """Make what was renamed and removed so far outlive a crash."""
+        """Make all renames and removals so far durable."""
 
     def remove(self, name: str) -> None:
         """Remove a file."""
 
 
 class Folder:
-    """A folder on disk, made if it is not there."""
+    """A folder on disk, which is created if it does not exist."""
 
     def __init__(self, path: str | Path) -> None:
         self.path = Path(path)
@@ -59,7 +58,7 @@
         return os.listdir(self.path)
 
     def read(self, name: str) -> bytes:
-        """Return the content of a file, up to a byte more than a version may have."""
+        """Return the content of a file; at most `MAX_BYTES` + 1 bytes, so that a larger file is detected."""
         with (self.path / name).open("rb") as file:
             return file.read(MAX_BYTES + 1)
 
@@ -76,7 +75,7 @@
         os.replace(self.path / old, self.path / new)
 
     def sync(self) -> None:
-        """Sync the folder itself."""
+        """Sync the folder, which makes all renames and removals so far durable."""
         handle = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(handle)
@@ -90,21 +89,31 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Version:
-    """A version that is kept."""
+    """A stored version.
+
+    Attributes:
+        number: Number of the version in the store; not the version at the top of the file.
+        digest: Digest of its content, in hexadecimal.
+    """
 
     number: int
     digest: str
 
     @property
     def name(self) -> str:
-        """The name of its file."""
+        """Name of the file that holds the version."""
         return f"{self.number:08d}-{self.digest}.toml"
 
 
 class VersionStore:
-    """The newest versions, up to a limit.
+    """Stores the newest versions, up to a limit.
+
+    Several instances may share a folder: each stores the versions that it accepts, and reads those of all.
 
-    Two instances may share a folder: each keeps what it accepts, and both find all.
+    Args:
+        files: The folder.
+        limit: Number of versions that are stored.
+        owner: Identifies this process's draft files; by default the process id.
     """
 
     def __init__(self, files: StorageFolder, limit: int = 20, owner: int | None = None) -> None:
@@ -113,19 +122,21 @@
         self._drafts = 0
 
     def versions(self) -> list[Version]:
-        """Return what is kept, by file names alone, the oldest first. Raises OSError."""
-        found = [(_NAME.match(name), name) for name in self._files.names()]
-        return sorted(Version(int(match[1]), match[2]) for match, _ in found if match)
+        """Return the stored versions by their file names, the oldest first. Raises OSError."""
+        matches = [(_VERSION_NAME.match(name), name) for name in self._files.names()]
+        return sorted(Version(int(match[1]), match[2]) for match, _ in matches if match)
 
     def read(self, version: Version) -> ServerList:
-        """Read a version. Raises OSError, or TomlError if it is torn or damaged."""
+        """Read a version. Raises OSError, or TomlError if it is damaged."""
         content = self._files.read(version.name)
         if digest_of(content) != version.digest:
-            raise TomlError(f"{version.name}: its content is not what was kept")
+            raise TomlError(
+                f"{version.name}: damaged: the content does not match the digest in the file name"
+            )
         return read_server_list(content, version.name)
 
     def last_good(self) -> tuple[Version, ServerList] | None:
-        """Return the newest version that can be used, if any. Nothing is raised."""
+        """Return the newest readable version, if any. Raises no OSError or TomlError."""
         try:
             versions = self.versions()
         except OSError:
@@ -138,7 +149,7 @@
         return None
 
     def faults(self) -> list[str]:
-        """Return a line for each version that is kept and can't be used."""
+        """Return a line for each stored version that cannot be read."""
         faults: list[str] = []
         try:
             for version in self.versions():
@@ -151,9 +162,10 @@
         return faults
 
     def save(self, content: bytes) -> Version:
-        """Keep a version, and return it.
+        """Store a version and return it; the newest one is returned if it has the same content.
 
-        Raises OSError if the disk is full, read-only or gone; what was kept before is kept still.
+        Raises:
+            OSError: The disk is full, read-only or missing. The versions stored before are not affected.
         """
         digest = digest_of(content)
         versions = self.versions()
@@ -173,20 +185,20 @@
         return version
 
     def _prune(self, versions: list[Version]) -> None:
-        """Remove versions over the limit.
+        """Remove the oldest versions over the limit, and old drafts of this process.
 
-        The last good one stays whatever its age: it would go because newer ones are damaged.
+        The last good version is kept even over the limit, which happens if all newer ones are damaged.
         """
         good = self.last_good()
         for version in versions[: -self._limit]:
             if good is None or version != good[0]:
                 self._remove(version.name)
         for name in self._files.names():
-            match = _DRAFT.match(name)
-            # A draft of our own that is still here was left by a crash of an earlier process.
+            match = _DRAFT_NAME.match(name)
+            # A remaining draft with this owner was left by an earlier process that crashed.
             if match and int(match[1]) == self._owner:
                 self._remove(name)
 
     def _remove(self, name: str) -> None:
-        with suppress(OSError):  # it is not there, or the disk is read-only: it costs room, nothing else
+        with suppress(OSError):  # the file is missing, or stays and only takes up space
             self._files.remove(name)
--- a/client_proxy/consensus/policy_source.py
+++ b/client_proxy/consensus/policy_source.py
@@ -177,13 +177,13 @@
         self._active_since_s = time.monotonic()
         classes = "" if policy.table is None else f", {len(policy.classes)} classes"
         is_new = ", the new one" if policy is not whole else ""
-        self._note(
+        self._record_change(
             f"taken: version {version.number}, {len(fleet.servers)} servers{classes}{is_new}, "
             f"{fleet.digest[:8]}"
         )
         # A step of a rollout at other instances changes nothing here.
         if self._active_policy is None or not has_same_effect(self._active_policy, policy):
-            self._adopt(policy, self._message(fleet, had_fleet))
+            self._adopt(policy, self._list_message(fleet, had_fleet))
         self._active_policy = policy
 
     # Rollouts
--- a/tests/config/test_fleet.py
+++ b/tests/config/test_fleet.py
@@ -74,7 +74,7 @@
         (text(2) + text(2), "stands more than once"),
         (b"version = 1\n" + text(2), "a file with a version ends with [end]"),
         (b"version = 2\n" + text(2) + b"[end]\nversion = 1\n", "is not the version at the top (2)"),
-        (sealed(1).replace(b"8001", b"8091"), "not that of what stands above"),
+        (sealed(1).replace(b"8001", b"8091"), "does not match the content above [end]"),
         (b"\xff\xfe", "not UTF-8"),
         (b"[[server", "Expected ']]'"),
         (text(10_001), "at most 10000 items"),
--- a/tests/config/test_kept.py
+++ b/tests/config/test_kept.py
@@ -123,7 +123,7 @@
     good = kept.last_good()
     assert good is not None
     assert good[1].content == version(2)
-    assert kept.faults() == [f"{newest.name}: its content is not what was kept"]
+    assert kept.faults() == [f"{newest.name}: damaged: the content does not match the digest in the file name"]
     with pytest.raises(TomlError):
         kept.read(newest)
 
