--- a/client_proxy/config/source.py
+++ b/client_proxy/config/source.py
@@ -3,7 +3,7 @@
 The file is polled (docs/design/configuration.md compares alternatives): a poll costs some 20 us, works on
 every file system, follows a symlink that is redirected and a folder that is created again, and has no event
 queue that could overflow. `file_watcher` decides about the content. An accepted version goes to the balancer
-as a complete endpoint list, like a snapshot of discovery, so that drains, slow start and the send guard apply.
+as a complete endpoint list, like a snapshot of discovery; so drains, slow start and the send guard apply.
 """
 
 from __future__ import annotations
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -28,7 +28,7 @@
 from client_proxy.config.fleet import read_server_list
 from client_proxy.config.models import LogTable
 from client_proxy.routing.weights import Weights
-from tests.config.test_fleet import sealed, text
+from tests.config.test_fleet import sealed_file, server_tables
 from tests.driver import SAFE, endpoint
 from tests.proxy.sockets import Host, run, until
 from tests.support.fixed_draws import fixed_draws
@@ -62,11 +62,11 @@
 def test_check_tells_all_faults_of_all_files(tmp_path: Path) -> None:
     config, servers = tmp_path / "proxy.toml", tmp_path / "servers.toml"
     config.write_text(CONFIG)
-    servers.write_bytes(sealed(3))
+    servers.write_bytes(sealed_file(3))
     code, said = call("config", "check", str(config))
     assert code == 0
     assert "an instance with 1 classes, and 5 servers, 5 of them usable, sealed" in said
-    servers.write_bytes(sealed(3)[:-30])
+    servers.write_bytes(sealed_file(3)[:-30])
     config.write_text(CONFIG.replace("aim_ms", "aim").replace("look_ms = 5", "look_ms = 0"))
     code, said = call("config", "check", str(config), str(servers), "--json")
     told = json.loads(said)
@@ -80,7 +80,7 @@
     from client_proxy.config.version_store import Folder, VersionStore
 
     servers, kept = tmp_path / "servers.toml", VersionStore(Folder(tmp_path / "kept"))
-    servers.write_bytes(text(3))
+    servers.write_bytes(server_tables(3))
     assert call("config", "seal", str(servers))[0] == 0
     first = servers.read_bytes()
     kept.save(first)
--- a/tests/config/test_watched.py
+++ b/tests/config/test_watched.py
@@ -1,4 +1,4 @@
-"""The watched file under a daemon: a thousand edits while it serves, and what a restart goes on with."""
+"""Tests of the watched server file: many edits while a daemon serves, and restarts with a faulty file."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 from tests.proxy.sockets import KEYED_CLASS, Client, Host, facts, run, until
 
 
-def worded(hosts: list[Host], version: int, weights: dict[str, float] | None = None) -> bytes:
+def sealed_file_of(hosts: list[Host], version: int, weights: dict[str, float] | None = None) -> bytes:
+    """Return a sealed server file with these hosts; their weights are 1 unless given."""
     tables = (
         f'[[server]]\nname = "{host.name}"\naddress = "127.0.0.1:{host.port}"\n'
         f"weight = {(weights or {}).get(host.name, 1.0)}\n"
@@ -33,42 +34,55 @@
 
 
 class Instance:
-    def __init__(self, path: Path, stated: WatchSettings, kept: VersionStore | None = None) -> None:
-        self.sets: list[frozenset[str]] = []
+    """A daemon with a watched server file.
+
+    Attributes:
+        endpoint_sets: Names of the endpoints after each change of the list.
+    """
+
+    def __init__(self, path: Path, watch_settings: WatchSettings, store: VersionStore | None = None) -> None:
+        self.endpoint_sets: list[frozenset[str]] = []
         self.source: FileSource
 
-        def listing(directory: EndpointDirectory, told: Callable[[EndpointsListed], None]) -> FileSource:
-            def seen(event: EndpointsListed) -> None:
-                told(event)
-                self.sets.append(frozenset(directory.entries))
+        def make_source(
+            directory: EndpointDirectory, notify: Callable[[EndpointsListed], None]
+        ) -> FileSource:
+            def record_and_notify(event: EndpointsListed) -> None:
+                notify(event)
+                self.endpoint_sets.append(frozenset(directory.entries))
 
-            self.source = FileSource(path, 1.0, stated, directory, seen, kept)
+            self.source = FileSource(path, 1.0, watch_settings, directory, record_and_notify, store)
             return self.source
 
-        plain = {**facts(), "discovery": "automatic"}
-        config = Config("t", ("127.0.0.1", 0), None, 1, read_settings(plain), None, 1024)
-        self.daemon = Daemon(config, quota=ConnectionQuota(100, 100, 100), endpoint_source=listing)
+        plain_settings = {**facts(), "discovery": "automatic"}
+        config = Config("t", ("127.0.0.1", 0), None, 1, read_settings(plain_settings), None, 1024)
+        self.daemon = Daemon(config, quota=ConnectionQuota(100, 100, 100), endpoint_source=make_source)
         self.port = 0
 
 
 @asynccontextmanager
-async def serving(path: Path, stated: WatchSettings | None = None, kept: VersionStore | None = None) -> Any:
-    made = Instance(path, stated or WatchSettings(settle_ms=20.0, sealed=True, leaving_share=1.0), kept)
-    made.port = await made.daemon.start()
+async def run_instance(
+    path: Path, watch_settings: WatchSettings | None = None, store: VersionStore | None = None
+) -> Any:
+    instance = Instance(
+        path, watch_settings or WatchSettings(settle_ms=20.0, sealed=True, leaving_share=1.0), store
+    )
+    instance.port = await instance.daemon.start()
     try:
-        yield made
+        yield instance
     finally:
-        made.daemon.discovery.stop()
-        await made.daemon.listener.end(0.0, 1.0)
+        instance.daemon.discovery.stop()
+        await instance.daemon.listener.end(0.0, 1.0)
 
 
-def runs(made: Instance, version: int) -> bool:
-    fleet = made.source.watcher.server_list
-    return fleet is not None and fleet.version == version
+def has_version(instance: Instance, version: int) -> bool:
+    """Return whether `version` is active."""
+    server_list = instance.source.watcher.server_list
+    return server_list is not None and server_list.version == version
 
 
-def spoil(random: Random, content: bytes) -> bytes:
-    """As an editor, a full disk or a slip might leave it."""
+def damage(random: Random, content: bytes) -> bytes:
+    """Return the content as an editor, a full disk or a mistake might leave it."""
     kind = random.randrange(5)
     if kind == 0:
         return content[: random.randrange(len(content))]
@@ -82,151 +96,151 @@
     return random.randbytes(random.randrange(200))
 
 
-def test_a_thousand_edits_while_it_serves(tmp_path: Path) -> None:
+def test_a_thousand_edits_while_the_daemon_serves(tmp_path: Path) -> None:
     async def test() -> None:
         random = Random(7)
         hosts = [await Host(f"h{n}").start() for n in range(6)]
         path = tmp_path / "servers.toml"
-        path.write_bytes(worded(hosts[:2], 1))
-        async with serving(path) as made:
-            asked = [0]
-            over = asyncio.Event()
-
-            async def client() -> None:
-                one = await Client.connect(made.port)
-                while not over.is_set():
+        path.write_bytes(sealed_file_of(hosts[:2], 1))
+        async with run_instance(path) as instance:
+            served = [0]
+            stopped = asyncio.Event()
+
+            async def send_requests() -> None:
+                client = await Client.connect(instance.port)
+                while not stopped.is_set():
                     try:
-                        status, headers, _ = await one.ask(KEYED_CLASS, key=f"k{asked[0]}")
+                        status, headers, _ = await client.ask(KEYED_CLASS, key=f"k{served[0]}")
                     except (asyncio.IncompleteReadError, ConnectionError):
-                        one = await Client.connect(made.port)
+                        client = await Client.connect(instance.port)
                         continue
                     assert status == 200
-                    asked[0] += 1
+                    served[0] += 1
                     if headers.get("connection") == "close":
-                        one = await Client.connect(made.port)
+                        client = await Client.connect(instance.port)
                     await asyncio.sleep(0.002)
-                one.close()
+                client.close()
 
-            task = asyncio.create_task(client())
-            meant = [frozenset(h.name for h in hosts[:2])]
+            task = asyncio.create_task(send_requests())
+            written_sets = [frozenset(server.name for server in hosts[:2])]
             version = 1
             for edit in range(1000):
                 version += 1
                 chosen = random.sample(hosts, random.randint(1, 6))
-                good = worded(chosen, version)
-                meant.append(frozenset(h.name for h in chosen))
-                if edit % 2:  # in place, in pieces, with something else before
-                    path.write_bytes(spoil(random, good))
+                content = sealed_file_of(chosen, version)
+                written_sets.append(frozenset(server.name for server in chosen))
+                if edit % 2:  # overwrite in place and in pieces, after damaged content
+                    path.write_bytes(damage(random, content))
                     await asyncio.sleep(0)
-                    cut = random.randrange(len(good))
+                    cut = random.randrange(len(content))
                     with path.open("r+b" if random.random() < 0.5 else "wb") as file:
-                        file.write(good[:cut])
+                        file.write(content[:cut])
                         file.flush()
                         await asyncio.sleep(0.001 if edit % 7 == 0 else 0)
-                        file.write(good[cut:])
+                        file.write(content[cut:])
                         file.truncate()
                 else:
                     draft = tmp_path / f"draft{edit}"
-                    draft.write_bytes(good)
+                    draft.write_bytes(content)
                     os.replace(draft, path)
                 if edit % 20 == 0:
-                    await until(partial(runs, made, version))
+                    await until(partial(has_version, instance, version))
                 elif edit % 3 == 0:
                     await asyncio.sleep(0.001)
-            await until(partial(runs, made, version))
-            over.set()
+            await until(partial(has_version, instance, version))
+            stopped.set()
             await task
-            assert asked[0] > 0
-            # Every set that ran was one whole version, and they came in order.
+            assert served[0] > 0
+            # Each endpoint set was that of one complete version, and the versions came in order.
             at = 0
-            for each in made.sets:
-                while meant[at] != each:
-                    at += 1  # raises IndexError for a set that nobody meant, or out of order
-            assert len(made.sets) >= 50
-            assert made.sets[-1] == meant[-1]
+            for endpoint_set in instance.endpoint_sets:
+                while written_sets[at] != endpoint_set:
+                    at += 1  # raises IndexError for a set that was never written, or is out of order
+            assert len(instance.endpoint_sets) >= 50
+            assert instance.endpoint_sets[-1] == written_sets[-1]
         for host in hosts:
             host.stop()
 
     run(test())
 
 
-def test_a_restart_with_a_bad_file_goes_on_with_the_last_good_one(tmp_path: Path) -> None:
+def test_a_restart_with_a_faulty_file_uses_the_last_good_version(tmp_path: Path) -> None:
     async def test() -> None:
         hosts = [await Host(f"h{n}").start() for n in range(2)]
-        path, kept = tmp_path / "servers.toml", VersionStore(Folder(tmp_path / "kept"))
-        path.write_bytes(worded(hosts, 4))
-        async with serving(path, kept=kept) as made:
-            await until(lambda: len(made.daemon.directory.entries) == 2)
-        for bad in (worded(hosts, 5)[:-20], None):
-            if bad is None:
+        path, store = tmp_path / "servers.toml", VersionStore(Folder(tmp_path / "kept"))
+        path.write_bytes(sealed_file_of(hosts, 4))
+        async with run_instance(path, store=store) as instance:
+            await until(lambda: len(instance.daemon.directory.entries) == 2)
+        for faulty in (sealed_file_of(hosts, 5)[:-20], None):
+            if faulty is None:
                 path.unlink()
             else:
-                path.write_bytes(bad)
-            async with serving(path, kept=kept) as made:
-                assert made.source.from_store
-                assert made.source.watcher.server_list.version == 4
-                client = await Client.connect(made.port)
+                path.write_bytes(faulty)
+            async with run_instance(path, store=store) as instance:
+                assert instance.source.from_store
+                assert instance.source.watcher.server_list.version == 4
+                client = await Client.connect(instance.port)
                 status, _, _ = await client.ask(KEYED_CLASS)
                 assert status == 200
                 client.close()
-                # The file comes back, whole: it is taken, and kept in its turn.
-                path.write_bytes(worded(hosts[:1], 6))
-                await until(partial(runs, made, 6))
-                assert kept.last_good()[1].version == 6  # type: ignore[index]
-            path.write_bytes(worded(hosts, 7))
-            async with serving(path, kept=kept) as made:
-                await until(partial(runs, made, 7))
-            for each in kept.versions()[1:]:
-                (tmp_path / "kept" / each.name).unlink()
+                # The file is complete again: it is accepted and stored.
+                path.write_bytes(sealed_file_of(hosts[:1], 6))
+                await until(partial(has_version, instance, 6))
+                assert store.last_good()[1].version == 6  # type: ignore[index]
+            path.write_bytes(sealed_file_of(hosts, 7))
+            async with run_instance(path, store=store) as instance:
+                await until(partial(has_version, instance, 7))
+            for version in store.versions()[1:]:
+                (tmp_path / "kept" / version.name).unlink()
         for host in hosts:
             host.stop()
 
     run(test())
 
 
-def test_a_symlink_swung_and_a_folder_made_anew_are_followed(tmp_path: Path) -> None:
+def test_a_redirected_symlink_and_a_recreated_folder_are_followed(tmp_path: Path) -> None:
     async def test() -> None:
         hosts = [await Host(f"h{n}").start() for n in range(3)]
         for number in (1, 2, 3):
             (tmp_path / f"v{number}").mkdir()
-            (tmp_path / f"v{number}" / "servers.toml").write_bytes(worded(hosts[:number], number))
+            (tmp_path / f"v{number}" / "servers.toml").write_bytes(sealed_file_of(hosts[:number], number))
         (tmp_path / "now").symlink_to("v1")
         path = tmp_path / "now" / "servers.toml"
-        async with serving(path) as made:
-            await until(lambda: len(made.daemon.directory.entries) == 1)
+        async with run_instance(path) as instance:
+            await until(lambda: len(instance.daemon.directory.entries) == 1)
             (tmp_path / "next").symlink_to("v2")
             os.replace(tmp_path / "next", tmp_path / "now")
-            await until(lambda: len(made.daemon.directory.entries) == 2)
+            await until(lambda: len(instance.daemon.directory.entries) == 2)
             (tmp_path / "now").unlink()
-            await until(lambda: made.source._stamp is None)
-            assert len(made.daemon.directory.entries) == 2
+            await until(lambda: instance.source._stamp is None)
+            assert len(instance.daemon.directory.entries) == 2
             (tmp_path / "now").mkdir()
-            path.write_bytes(worded(hosts, 3))
-            await until(lambda: len(made.daemon.directory.entries) == 3)
+            path.write_bytes(sealed_file_of(hosts, 3))
+            await until(lambda: len(instance.daemon.directory.entries) == 3)
         for host in hosts:
             host.stop()
 
     run(test())
 
 
-def test_weight_zero_drains_newcomers_are_cold_and_weights_reach_the_pick(tmp_path: Path) -> None:
+def test_weight_zero_drains_new_servers_are_cold_and_weights_reach_the_endpoints(tmp_path: Path) -> None:
     async def test() -> None:
         hosts = [await Host(f"h{n}").start() for n in range(3)]
         path = tmp_path / "servers.toml"
-        path.write_bytes(worded(hosts[:2], 1))
-        async with serving(path) as made:
-            entries = made.daemon.directory.entries
-            assert [e.started_ms for e in entries.values()] == [None, None]
-            path.write_bytes(worded(hosts, 2, {"h0": 0.0, "h1": 2.0}))
+        path.write_bytes(sealed_file_of(hosts[:2], 1))
+        async with run_instance(path) as instance:
+            entries = instance.daemon.directory.entries
+            assert [entry.started_ms for entry in entries.values()] == [None, None]
+            path.write_bytes(sealed_file_of(hosts, 2, {"h0": 0.0, "h1": 2.0}))
             await until(lambda: len(entries) == 3)
             assert entries["h0"].state is EndpointState.DRAINING
             assert entries["h1"].weight == 2.0
             assert entries["h1"].started_ms is None
             assert entries["h2"].started_ms is not None
-            since = entries["h2"].started_ms
-            path.write_bytes(worded(hosts, 3, {"h0": 1.0}))
+            started_ms = entries["h2"].started_ms
+            path.write_bytes(sealed_file_of(hosts, 3, {"h0": 1.0}))
             await until(lambda: entries["h0"].state is EndpointState.READY)
-            assert entries["h2"].started_ms == since
+            assert entries["h2"].started_ms == started_ms
             assert entries["h0"].started_ms is None
         for host in hosts:
             host.stop()
