--- a/client_proxy/consensus/policy_source.py
+++ b/client_proxy/consensus/policy_source.py
@@ -170,21 +170,21 @@
 
     def _activate(self, version: Version, content: bytes) -> None:
         full_policy = self._validator.policy_of(version, content)
-        had_fleet = self.watcher.fleet is not None
+        had_fleet = self.watcher.server_list is not None
         self.rollout.activate_version(version.number, full_policy, content)
         policy = full_policy.for_member(self.node.member)
-        fleet = policy.fleet
+        fleet = policy.server_list
         self.watcher.start(fleet)
         self._active_since_s = time.monotonic()
         classes = "" if policy.table is None else f", {len(policy.classes)} classes"
         candidate_note = ", the rollout's new policy" if policy is not full_policy else ""
-        self._note(
+        self._record_change(
             f"taken: version {version.number}, {len(fleet.servers)} servers{classes}{candidate_note}, "
             f"{fleet.digest[:8]}"
         )
         # A rollout step that concerns other instances does not change the policy of this one.
         if self._active_policy is None or not has_same_effect(self._active_policy, policy):
-            self._adopt(policy, self._message(fleet, had_fleet))
+            self._adopt(policy, self._list_message(fleet, had_fleet))
         self._active_policy = policy
 
     # Rollouts
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -25,10 +25,10 @@
 from client_proxy.cli.control import CALLERS, Control, ask
 from client_proxy.cli.errors import CommandError
 from client_proxy.cli.logs import MOST_EVENTS, Limit, set_up
-from client_proxy.config.fleet import read_fleet
+from client_proxy.config.fleet import read_server_list
 from client_proxy.config.models import LogTable
 from client_proxy.routing.weights import Weights
-from tests.config.test_fleet import sealed, text
+from tests.config.test_fleet import sealed_file, server_tables
 from tests.driver import SAFE, endpoint
 from tests.proxy.sockets import Host, run, until
 from tests.support.fixed_draws import fixed_draws
@@ -62,11 +62,11 @@
 def test_check_tells_all_faults_of_all_files(tmp_path: Path) -> None:
     config, servers = tmp_path / "proxy.toml", tmp_path / "servers.toml"
     config.write_text(CONFIG)
-    servers.write_bytes(sealed(3))
+    servers.write_bytes(sealed_file(3))
     code, said = call("config", "check", str(config))
     assert code == 0
     assert "an instance with 1 classes, and 5 servers, 5 of them usable, sealed" in said
-    servers.write_bytes(sealed(3)[:-30])
+    servers.write_bytes(sealed_file(3)[:-30])
     config.write_text(CONFIG.replace("aim_ms", "aim").replace("look_ms = 5", "look_ms = 0"))
     code, said = call("config", "check", str(config), str(servers), "--json")
     told = json.loads(said)
@@ -80,11 +80,11 @@
     from client_proxy.config.version_store import Folder, VersionStore
 
     servers, kept = tmp_path / "servers.toml", VersionStore(Folder(tmp_path / "kept"))
-    servers.write_bytes(text(3))
+    servers.write_bytes(server_tables(3))
     assert call("config", "seal", str(servers))[0] == 0
     first = servers.read_bytes()
     kept.save(first)
-    assert read_fleet(first, "f").version == 1
+    assert read_server_list(first, "f").version == 1
     servers.write_bytes(first.replace(b"8002", b"8099"))  # an edit under the old seal
     assert call("config", "check", str(servers))[0] == 2
     assert call("config", "seal", str(servers))[0] == 0
@@ -101,9 +101,9 @@
         "number 2  version 2  servers 3",
     ]
     assert call("config", "rollback", str(servers), str(tmp_path / "kept"))[0] == 0
-    back = read_fleet(servers.read_bytes(), "f")
+    back = read_server_list(servers.read_bytes(), "f")
     assert back.version == 3
-    assert back.servers == read_fleet(first, "f").servers
+    assert back.servers == read_server_list(first, "f").servers
     assert call("config", "rollback", str(servers), str(tmp_path / "kept"), "--to", "9")[0] == 2
 
 
