--- a/client_proxy/limits/__init__.py
+++ b/client_proxy/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits on what is sent: congestion, concurrency, pacing, priority and admission, without I/O or a clock."""
+"""Limits on the load sent to endpoints, without I/O; the time is an argument of every call that needs it."""
--- a/client_proxy/limits/admission.py
+++ b/client_proxy/limits/admission.py
@@ -1,41 +1,43 @@
-"""Admits a share of the work that is offered, by whether answers come in time."""
+"""An admission gate: admits a share of the offered work, adapted by whether answers arrive in time."""
 
 from __future__ import annotations
 
 from collections import defaultdict
 
-# What a late answer takes from the admitted share, and what each of a streak of answers in time gives back:
-# one step the first, five the fifth and later. So a share recovers fast once few are late, and slowly before.
+# A late answer reduces the admitted share by the fraction ADMIT_CUT. Each answer in time adds ADMIT_STEP for
+# each of the consecutive answers in time so far, up to ADMIT_STREAK: one step for the first, five from the
+# fifth on. So the share recovers fast once few answers are late, and slowly before.
 ADMIT_CUT, ADMIT_STEP, ADMIT_STREAK = 0.2, 0.01, 5
 
 
 class AdmissionGate:
-    """Admits a share of the work offered.
+    """Admits a share of the offered work, separately for each request class.
 
-    Where many proxies share the endpoints, each has so little in flight at any of them that no limit on that
-    prevents congestion: endpoints fill with work that will be late, and stay full of it.
+    Where many proxies share the endpoints, each proxy has so few requests in flight at any endpoint that a
+    per-endpoint concurrency limit can't prevent congestion: endpoints fill with work that will be answered
+    late, and stay full of it.
     """
 
     def __init__(self) -> None:
         self.share = 1.0
         self._streak = 0
-        self._credit: defaultdict[str, float] = defaultdict(float)  # by class
+        self._credit: defaultdict[str, float] = defaultdict(float)  # admitted work not yet sent, by class
 
-    def offer(self, name: str, work: float, part: float) -> None:
-        """Work of a class has come; `part` of it may be admitted."""
-        self._credit[name] = min(self._credit[name] + part * work, 2 * work)
+    def offer(self, class_name: str, work: float, admitted_share: float) -> None:
+        """Credit a class for a new request: `admitted_share` of its work may be sent."""
+        self._credit[class_name] = min(self._credit[class_name] + admitted_share * work, 2 * work)
 
-    def admits(self, name: str, work: float) -> bool:
-        """May that much work of the class be sent now?"""
-        return self.share >= 1 or self._credit[name] >= work
+    def admits(self, class_name: str, work: float) -> bool:
+        """Return whether that much work of the class may be sent now."""
+        return self.share >= 1 or self._credit[class_name] >= work
 
-    def take(self, name: str, work: float) -> None:
-        """That much work of the class was sent."""
+    def take(self, class_name: str, work: float) -> None:
+        """Deduct the work of a request that was sent from the credit of its class."""
         if self.share < 1:
-            self._credit[name] = max(0.0, self._credit[name] - work)
+            self._credit[class_name] = max(0.0, self._credit[class_name] - work)
 
     def record_answer(self, late: bool) -> None:
-        """An answer has come, in time or late."""
+        """Adapt the admitted share to an answer, which came in time or late."""
         self._streak = 0 if late else min(ADMIT_STREAK, self._streak + 1)
         if late:
             self.share -= ADMIT_CUT * self.share
--- a/client_proxy/limits/client_retries.py
+++ b/client_proxy/limits/client_retries.py
@@ -1,11 +1,11 @@
-"""How long a client has been waiting already: what it asked for before, recognised when it asks again.
+"""Recognizes client retries, so that a retry keeps the age of its client's first request.
 
-A client's second try is a new request to whoever reads it alone, with a whole aim before it. But the client's
-patience began with its first try: served past that, an answer is worth nothing, and its server worked for
-nobody. So each request that was turned away is remembered by what it asked for until its client can no longer
-be waiting, and a try marked as a repeat takes over the age of the one before.
+Seen alone, a client's retry is a new request with its whole latency objective ahead of it. But the time that
+the client is willing to wait began with its first request: an answer after that is of no use, and the
+endpoint's work is wasted. So each rejected request is remembered by its identity until its client can no
+longer be waiting, and a request that is marked as a retry takes over the age of the rejected one.
 
-Memory is bounded by the number of identities and by time. Times are milliseconds.
+Memory is bounded by the number of identities and by time. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -17,52 +17,62 @@
 
 @dataclass(slots=True)
 class RejectedRequests:
-    """Tries that look alike and were turned away."""
+    """Rejected requests with the same identity."""
 
-    first_ms: float  # when the oldest of them asked first
-    until_ms: float
-    count: int = 1  # clients that may be meant
+    first_ms: float  # time of the client's first request, as given with the latest rejection
+    until_ms: float  # time at which the entry expires
+    count: int = 1  # rejections not yet matched to a retry: clients that may retry
 
 
 class ClientRetries:
-    """Turned away requests by identity. `most`: identities kept at once; the oldest give way."""
+    """Rejected requests by identity.
 
-    def __init__(self, memory_ms: float, most: int = 8192) -> None:
-        self._memory_ms, self._max_identities = memory_ms, most
-        self._rejected: OrderedDict[Hashable, RejectedRequests] = (
-            OrderedDict()
-        )  # by when they were turned away
+    Args:
+        memory_ms: how long a rejected request is remembered.
+        max_identities: how many identities are kept at once; beyond it the oldest is dropped.
+    """
+
+    def __init__(self, memory_ms: float, max_identities: int = 8192) -> None:
+        self._memory_ms, self._max_identities = memory_ms, max_identities
+        # By identity, in the order of the latest rejection.
+        self._rejected: OrderedDict[Hashable, RejectedRequests] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._rejected)
 
     def record_rejection(self, now_ms: float, identity: Hashable, first_ms: float) -> None:
-        """A try that first asked at `first_ms` has just been refused: its client may come again."""
-        self._forget(now_ms)
-        known = self._rejected.pop(identity, None)
-        count = 1 if known is None else known.count + 1
+        """Remember a request that has just been rejected, because its client may retry.
+
+        Args:
+            now_ms: the time.
+            identity: equal for a request and its retries.
+            first_ms: when the client sent its first request.
+        """
+        self._remove_expired(now_ms)
+        rejected = self._rejected.pop(identity, None)
+        count = 1 if rejected is None else rejected.count + 1
         self._rejected[identity] = RejectedRequests(first_ms, now_ms + self._memory_ms, count)
         if len(self._rejected) > self._max_identities:
             self._rejected.popitem(last=False)
 
     def first_request_ms(self, now_ms: float, identity: Hashable) -> float | None:
-        """When the client of this repeat asked first; None: not known. It is taken out: the next refusal
-        puts it in again.
+        """Return when the client of this retry sent its first request, or None if that is not known.
 
-        Two clients that ask for the same thing look alike, and one would be rejected for the other's age.
-        Where more than one may be meant, neither is.
+        The entry is removed; another rejection adds it again. Two clients that send the same request have the
+        same identity, and one could be rejected for the age of the other. So None is returned while more than
+        one client may be meant.
         """
-        self._forget(now_ms)
-        known = self._rejected.get(identity)
-        if known is None:
+        self._remove_expired(now_ms)
+        rejected = self._rejected.get(identity)
+        if rejected is None:
             return None
-        if known.count > 1:
-            known.count -= 1
+        if rejected.count > 1:
+            rejected.count -= 1
             return None
         del self._rejected[identity]
-        return known.first_ms
+        return rejected.first_ms
 
-    def _forget(self, now_ms: float) -> None:
+    def _remove_expired(self, now_ms: float) -> None:
         while self._rejected:
             identity, oldest = next(iter(self._rejected.items()))
             if oldest.until_ms > now_ms:
--- a/client_proxy/limits/congestion.py
+++ b/client_proxy/limits/congestion.py
@@ -1,14 +1,16 @@
-"""How crowded the servers are, from what their answers tell one instance.
+"""Estimates how congested the endpoints are, from the answers that one instance receives.
 
-The figure is the *inflation*: the time that a request spends at a server over the time that it is worked on.
-1 is nothing waiting; 2 is as much waiting as in work. By Little's law that is what a server holds over what
-it has in work, so a load report with both gives it at once, whoever sent the load. All instances that use a
-server read the same inflation, which is what lets limits that share nothing agree.
+The measure is the latency inflation: the time that a request spends at an endpoint over the time for which it
+is executed. 1 means that nothing is queued, 2 that as many requests are queued as are executed. By Little's
+law it equals the requests in flight at an endpoint over those that it executes, so a load report with both
+gives it at once, whichever instance sent the load. All instances that use an endpoint read the same
+inflation, so their limits agree without any communication.
 
-Three things that reports do not show are looked at beside them. A server that tells wrongly that it is idle
-is betrayed by its answers, which are slow. One that turns work away is full. And when most attempts get no
-answer at all, the servers are behind by more than the time that is waited for them; that a third of the fleet
-has vanished does not look like that."""
+Three signs are used besides load reports, which don't show them. Slow answers reveal an endpoint that wrongly
+reports to be idle. A rejection says that an endpoint is full. And when most attempts get no answer at all,
+endpoints are behind by more than the attempts' timeout; the loss of a third of the endpoints does not look
+like that.
+"""
 
 from __future__ import annotations
 
@@ -17,72 +19,86 @@
 
 from client_proxy.api.events import Outcome
 
-LOAD_MEMORY_MS = 6000.0  # what an endpoint showed longer ago says nothing of now
-# Where nothing was sent for so long, what endpoints showed before says nothing of now. An instance that sends
-# a probe now and then would take each quick answer for one of ten at a slow endpoint, and be cut by it.
+LOAD_MEMORY_MS = 6000.0  # ms; an older observation of an endpoint is ignored
+# ms without any attempt sent, after which all earlier observations are ignored. Otherwise an instance that
+# sends only a probe now and then would count each fast answer as one of ten at a slow endpoint, and its limit
+# would be cut by it.
 STALE_AFTER_MS = 2000.0
-LOSS_SMOOTHING = 0.15  # gain of each attempt: about the last seven
-# With a larger share of attempts unanswered endpoints are congested, unless one has answered within this time
-# and they are under this inflation: then the way to some of them is cut.
+LOSS_SMOOTHING = 0.15  # gain of each attempt: about the last seven count
+# If a larger share of attempts than MAX_LOSS_SHARE is unanswered, endpoints are congested. The exception: one
+# has answered within RECENT_ANSWER_MS and the inflation is below UNCONGESTED_INFLATION; then some endpoints
+# can't be reached, and the others are not congested.
 MAX_LOSS_SHARE = 0.5
 RECENT_ANSWER_MS = 1000.0
 UNCONGESTED_INFLATION = 1.8
-SLOWNESS_SMOOTHING = 0.1  # gain of each answer: about an endpoint's last ten
-MIN_EXECUTING = 0.5  # requests, by which those that an endpoint holds are divided at the least
-MAX_INFLATION = 10.0  # of one endpoint: what it executes is the difference of two noisy figures
-TOLERATED_SLOWNESS = 2.5  # multiple of the reported inflation, past which the report is taken to be wrong
+SLOWNESS_SMOOTHING = 0.1  # gain of each answer: about the last ten of an endpoint count
+MIN_EXECUTING = 0.5  # requests; least divisor of an endpoint's requests in flight
+MAX_INFLATION = 10.0  # of one endpoint: the requests that it executes are the difference of two noisy values
+TOLERATED_SLOWNESS = 2.5  # slowness over reported inflation, beyond which the report is taken to be wrong
 
 
 @dataclass(slots=True)
 class EndpointLoad:
-    """What a server showed last."""
+    """The load of one endpoint by its latest answers."""
 
     recorded_ms: float
-    in_flight: float = 0.0
-    executing: float = 0.0
-    slowness: float = 1.0  # of its answers, smoothed, over what their classes take unhurried
+    in_flight: float = 0.0  # requests
+    executing: float = 0.0  # requests
+    slowness: float = 1.0  # smoothed latency of its answers over the uncongested latency of their class
 
 
 class CongestionEstimate:
-    """Kept for each server listed; `forget` drops those that are not."""
+    """The load of each endpoint and the latency inflation over all; `retain` drops endpoints not listed."""
 
-    def __init__(self, fields: tuple[str, ...], full: float) -> None:
-        """`fields`: of a load report, in order. `full`: the inflation that a refusal for want of room stands
-        for."""
+    def __init__(self, fields: tuple[str, ...], rejection_inflation: float) -> None:
+        """Create an estimate without observations.
+
+        Args:
+            fields: names of the values in a load report, in order.
+            rejection_inflation: the latency inflation that a rejection by a full endpoint stands for.
+        """
         self._fields = fields
-        self._reported = "inflight" in fields and "queue" in fields
-        self._rejection_inflation = full
+        self._has_load_reports = "inflight" in fields and "queue" in fields
+        self._rejection_inflation = rejection_inflation
         self._loads: dict[str, EndpointLoad] = {}
         self._loss_share = 0.0
-        self._sent_ms = float("-inf")  # when anything was sent last
-        self._is_stale = False  # nothing was sent for long before what is out now
+        self._sent_ms = float("-inf")  # when the last attempt was sent
+        self._is_stale = False  # the attempts in flight follow a long pause
 
     def __len__(self) -> int:
         return len(self._loads)
 
-    def set_rejection_inflation(self, full: float) -> None:
-        """Operators have changed what a refusal stands for."""
-        self._rejection_inflation = full
+    def set_rejection_inflation(self, rejection_inflation: float) -> None:
+        """Change the latency inflation that a rejection by a full endpoint stands for."""
+        self._rejection_inflation = rejection_inflation
 
-    def retain(self, listed: set[str]) -> None:
-        """Forget endpoints that are not listed."""
-        for name in [name for name in self._loads if name not in listed]:
-            del self._loads[name]
+    def retain(self, listed_endpoints: set[str]) -> None:
+        """Drop the endpoints that are not listed."""
+        for endpoint in [endpoint for endpoint in self._loads if endpoint not in listed_endpoints]:
+            del self._loads[endpoint]
 
     def attempt_sent(self, now_ms: float) -> None:
-        """An attempt went out."""
+        """Take note that an attempt was sent."""
         self._is_stale = self._is_stale or (bool(self._loads) and now_ms - self._sent_ms > STALE_AFTER_MS)
         self._sent_ms = now_ms
 
     def record_attempt(
-        self, now_ms: float, server: str, outcome: Outcome, slowness: float, report: tuple[float, ...] | None
+        self,
+        now_ms: float,
+        endpoint: str,
+        outcome: Outcome,
+        slowness: float,
+        report: tuple[float, ...] | None,
     ) -> float | None:
-        """An attempt ended. The fleet's inflation as it looks now; None: this one tells nothing of it."""
+        """Record the end of an attempt; return the latency inflation of all endpoints by now.
+
+        None is returned for an attempt that says nothing about congestion.
+        """
         if outcome is Outcome.REJECTED:
-            # Endpoints also reject a connection too many while they are idle; taken for congestion, that
-            # would shed load on a calm day. Where there are reports, one must show a queue.
-            waiting = dict(zip(self._fields, report or (), strict=False)).get("queue", 0.0)
-            return self._rejection_inflation if waiting > 0 or not self._reported else None
+            # An idle endpoint also rejects connections beyond its limit. Taken as congestion, that would shed
+            # load without need. So where there are load reports, the report must show a queue.
+            queued = dict(zip(self._fields, report or (), strict=False)).get("queue", 0.0)
+            return self._rejection_inflation if queued > 0 or not self._has_load_reports else None
         if outcome is Outcome.TIMEOUT:
             self._loss_share += LOSS_SMOOTHING * (1.0 - self._loss_share)
             return (
@@ -94,54 +110,58 @@
             return None
         self._loss_share -= LOSS_SMOOTHING * self._loss_share
         if self._is_stale:
-            self._loads = {server: EndpointLoad(now_ms, slowness=slowness)}
+            self._loads = {endpoint: EndpointLoad(now_ms, slowness=slowness)}
             self._is_stale = False
-        seen = self._loads.get(server)
-        if seen is None:
-            seen = self._loads[server] = EndpointLoad(now_ms)
-        seen.recorded_ms = now_ms
-        seen.slowness += SLOWNESS_SMOOTHING * (slowness - seen.slowness)
-        if self._reported and report is not None:
-            told: Mapping[str, float] = dict(zip(self._fields, report, strict=False))
-            seen.in_flight = max(0.0, told.get("inflight", 0.0))
-            seen.executing = max(0.0, seen.in_flight - max(0.0, told.get("queue", 0.0)))
+        load = self._loads.get(endpoint)
+        if load is None:
+            load = self._loads[endpoint] = EndpointLoad(now_ms)
+        load.recorded_ms = now_ms
+        load.slowness += SLOWNESS_SMOOTHING * (slowness - load.slowness)
+        if self._has_load_reports and report is not None:
+            report_values: Mapping[str, float] = dict(zip(self._fields, report, strict=False))
+            load.in_flight = max(0.0, report_values.get("inflight", 0.0))
+            load.executing = max(0.0, load.in_flight - max(0.0, report_values.get("queue", 0.0)))
         return self.latency_inflation(now_ms)
 
     def _has_capacity(self, now_ms: float) -> bool:
-        """Whether endpoints that answer have capacity, however many attempts are lost.
+        """Return whether the endpoints that answer have capacity, however many attempts are lost.
 
-        An instance that is partitioned from two zones of three loses most of what it sends, while the
-        endpoints of the third are idle.
+        An instance that is partitioned from two of three zones loses most of its attempts, while the
+        endpoints of the third zone are idle.
         """
-        fresh = any(seen.recorded_ms > now_ms - RECENT_ANSWER_MS for seen in self._loads.values())
-        return self._reported and fresh and self.latency_inflation(now_ms) < UNCONGESTED_INFLATION
+        answered_recently = any(load.recorded_ms > now_ms - RECENT_ANSWER_MS for load in self._loads.values())
+        return (
+            self._has_load_reports
+            and answered_recently
+            and self.latency_inflation(now_ms) < UNCONGESTED_INFLATION
+        )
 
     def has_recent_answers(self, now_ms: float) -> bool:
-        """Has any server answered lately?"""
-        return any(seen.recorded_ms > now_ms - LOAD_MEMORY_MS for seen in self._loads.values())
+        """Return whether any endpoint has answered lately."""
+        return any(load.recorded_ms > now_ms - LOAD_MEMORY_MS for load in self._loads.values())
 
     def latency_inflation(self, now_ms: float) -> float:
-        """Of a server heard of lately, in the mean: what it holds over what it works on."""
-        inflations = told = slow = weights = 0.0
-        for seen in self._loads.values():
-            # Fresh news counts for more: an instance that holds back hears of few servers, and what the
-            # others told when they were full must not keep it back for long.
-            weight = 1.0 - (now_ms - seen.recorded_ms) / LOAD_MEMORY_MS
+        """Return the mean latency inflation of the endpoints that answered lately, at least 1."""
+        inflation_sum = reported_weight = slowness_sum = weight_sum = 0.0
+        for load in self._loads.values():
+            # Newer observations weigh more: an instance that limits its load gets answers from few endpoints,
+            # and what the others reported while they were full must not limit it for long.
+            weight = 1.0 - (now_ms - load.recorded_ms) / LOAD_MEMORY_MS
             if weight <= 0:
                 continue
-            weights += weight
-            slow += weight * seen.slowness
-            if not self._reported:
+            weight_sum += weight
+            slowness_sum += weight * load.slowness
+            if not self._has_load_reports:
                 continue
-            # An endpoint that wrongly reports to be idle would draw work until it is overloaded.
-            own = max(1.0, seen.slowness / TOLERATED_SLOWNESS)
-            if seen.in_flight > 0:
-                own = max(own, seen.in_flight / max(MIN_EXECUTING, seen.executing))
-            # Weighted by the requests they execute, a few jammed endpoints would outweigh many idle ones, and
-            # everything would be rejected while most of the fleet is idle.
-            inflations += weight * min(MAX_INFLATION, own)
-            told += weight
-        if told > 0:
-            return max(1.0, inflations / told)
-        # Without reports: slowness, which grows with the crowd as the inflation does, but is noisier.
-        return max(1.0, slow / weights) if weights else 1.0
+            # An endpoint that wrongly reports to be idle would attract requests until it is overloaded.
+            inflation = max(1.0, load.slowness / TOLERATED_SLOWNESS)
+            if load.in_flight > 0:
+                inflation = max(inflation, load.in_flight / max(MIN_EXECUTING, load.executing))
+            # The mean is not weighted by executed requests: a few overloaded endpoints would outweigh many
+            # idle ones, and everything would be rejected while most of the fleet is idle.
+            inflation_sum += weight * min(MAX_INFLATION, inflation)
+            reported_weight += weight
+        if reported_weight > 0:
+            return max(1.0, inflation_sum / reported_weight)
+        # Without load reports the slowness is used: it also grows with congestion, but is noisier.
+        return max(1.0, slowness_sum / weight_sum) if weight_sum else 1.0
--- a/tests/limits/test_concurrency_limit.py
+++ b/tests/limits/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The window: what may be under way."""
+"""The concurrency window: the requests that one instance may have in flight."""
 
 from __future__ import annotations
 
@@ -12,102 +12,102 @@
 STATED = WindowSettings(target_inflation=2.0)
 
 
-def window(size: float) -> ConcurrencyWindow:
-    made = ConcurrencyWindow(STATED)
-    made.start(size)
-    made.size = size
-    return made
+def make_window(size: float) -> ConcurrencyWindow:
+    window = ConcurrencyWindow(STATED)
+    window.start(size)
+    window.size = size
+    return window
 
 
-def busy(made: ConcurrencyWindow, now_ms: float) -> None:
-    """Send as much as it lets."""
-    while not made.is_full(now_ms):
-        made.attempt_sent(now_ms, 1.0)
+def fill(window: ConcurrencyWindow, now_ms: float) -> None:
+    """Send requests until the window is full."""
+    while not window.is_full(now_ms):
+        window.attempt_sent(now_ms, 1.0)
 
 
-def test_it_bounds_what_is_under_way() -> None:
-    made = window(4.0)
-    busy(made, 0.0)
-    assert made.in_flight == 4
-    assert made.is_full(1.0)
-    made.attempt_ended(1.0, 50.0)
-    assert not made.is_full(2.0)
+def test_the_window_bounds_requests_in_flight() -> None:
+    window = make_window(4.0)
+    fill(window, 0.0)
+    assert window.in_flight == 4
+    assert window.is_full(1.0)
+    window.attempt_ended(1.0, 50.0)
+    assert not window.is_full(2.0)
 
 
-def test_the_worthier_go_beyond_it() -> None:
-    made = window(2.0)
-    busy(made, 0.0)
-    assert made.is_full(0.0)
-    assert not made.is_full(0.0, more=1)
+def test_borrowing_classes_may_exceed_the_window() -> None:
+    window = make_window(2.0)
+    fill(window, 0.0)
+    assert window.is_full(0.0)
+    assert not window.is_full(0.0, borrowed=1)
 
 
-def test_part_of_a_request_is_let_through_now_and_then() -> None:
-    made = window(1.5)
-    made.attempt_ended(0.0, 100.0)  # an attempt takes 100 ms
-    made.in_flight = 1
+def test_the_fractional_part_lets_a_request_through_now_and_then() -> None:
+    window = make_window(1.5)
+    window.attempt_ended(0.0, 100.0)  # the usual latency is 100 ms
+    window.in_flight = 1
     sent = 0
     for step in range(1000):
-        if not made.is_full(step * 10.0):
-            made.attempt_sent(step * 10.0, 1.0)
-            made.in_flight -= 1
+        if not window.is_full(step * 10.0):
+            window.attempt_sent(step * 10.0, 1.0)
+            window.in_flight -= 1
             sent += 1
-    assert 45 <= sent <= 52  # half a request at a time, each 100 ms, in 10 s
+    assert 45 <= sent <= 52  # the fraction lets half a request through each 100 ms, for 10 s
 
 
-def test_it_grows_while_it_binds_and_servers_have_room_and_not_otherwise() -> None:
-    idle, bound = window(4.0), window(4.0)
+def test_the_window_grows_only_while_it_is_full_and_endpoints_have_capacity() -> None:
+    unused, full = make_window(4.0), make_window(4.0)
     for step in range(20):
-        idle.record_inflation(step * 100.0, 1.5)
-        busy(bound, step * 100.0)
-        bound.record_inflation(step * 100.0, 1.5)
-    assert idle.size <= 4.0 < 4.5 < bound.size
+        unused.record_inflation(step * 100.0, 1.5)
+        fill(full, step * 100.0)
+        full.record_inflation(step * 100.0, 1.5)
+    assert unused.size <= 4.0 < 4.5 < full.size
 
 
-def test_it_is_cut_in_proportion_to_the_excess_and_by_time_not_by_answers() -> None:
-    few, many, little = window(8.0), window(8.0), window(8.0)
-    for made in (few, many, little):
-        made.record_inflation(0.0, 1.0)
-        made._was_binding = False
+def test_cuts_follow_the_excess_and_the_time_not_the_number_of_answers() -> None:
+    few_answers, many_answers, small_excess = make_window(8.0), make_window(8.0), make_window(8.0)
+    for window in (few_answers, many_answers, small_excess):
+        window.record_inflation(0.0, 1.0)
+        window._was_binding = False
     for step in range(1, 5):
-        few.record_inflation(step * 250.0, 4.0)
+        few_answers.record_inflation(step * 250.0, 4.0)
     for step in range(1, 101):
-        many.record_inflation(step * 10.0, 4.0)
+        many_answers.record_inflation(step * 10.0, 4.0)
     for step in range(1, 5):
-        little.record_inflation(step * 250.0, 2.2)
-    assert few.size < 4.0 < little.size < 8.0
-    assert many.size == pytest.approx(few.size, rel=0.35)
+        small_excess.record_inflation(step * 250.0, 2.2)
+    assert few_answers.size < 4.0 < small_excess.size < 8.0
+    assert many_answers.size == pytest.approx(few_answers.size, rel=0.35)
 
 
-def test_what_is_not_used_is_taken_back() -> None:
-    made = window(100.0)
+def test_unused_window_is_taken_back() -> None:
+    window = make_window(100.0)
     for step in range(300):
-        made.record_inflation(step * 100.0, 1.0)
-    assert made.size < 5.0
+        window.record_inflation(step * 100.0, 1.0)
+    assert window.size < 5.0
 
 
-def test_one_that_may_send_nothing_tries_again() -> None:
-    made = window(0.02)
-    made.record_inflation(0.0, 8.0)
-    held = 0
-    while made.share < 0.5 and held < 100:
-        held += 1
-        made.request_rejected(held * 1600.0)
-    assert made.share >= 0.5
-    assert held >= 2
+def test_a_window_that_rejects_everything_recovers_without_answers() -> None:
+    window = make_window(0.02)
+    window.record_inflation(0.0, 8.0)
+    rejections = 0
+    while window.share < 0.5 and rejections < 100:
+        rejections += 1
+        window.request_rejected(rejections * 1600.0)
+    assert window.share >= 0.5
+    assert rejections >= 2
 
 
-def test_many_windows_of_unequal_size_come_to_be_alike() -> None:
+def test_windows_of_unequal_size_converge() -> None:
     sizes = [1.2, 2.0, 6.0, 12.0]
-    windows = [window(size) for size in sizes]
+    windows = [make_window(size) for size in sizes]
     for step in range(1, 4000):
         now_ms = step * 50.0
-        load = sum(min(made.size, 10.0) for made in windows)
-        for made in windows:
-            made._was_binding = True
-            made.in_flight = int(made.size)
-            made.record_inflation(now_ms, load / 5.0)  # together they bear ten
-    assert 8.0 < sum(made.size for made in windows) < 12.0
-    assert max(made.size for made in windows) < 3.0 * min(made.size for made in windows)
+        load = sum(min(window.size, 10.0) for window in windows)
+        for window in windows:
+            window._was_binding = True
+            window.in_flight = int(window.size)
+            window.record_inflation(now_ms, load / 5.0)  # all endpoints together have capacity for ten
+    assert 8.0 < sum(window.size for window in windows) < 12.0
+    assert max(window.size for window in windows) < 3.0 * min(window.size for window in windows)
 
 
 EVENT = st.tuples(
@@ -118,20 +118,20 @@
 @fixed_draws("never_more_under_way_than_its_bound")
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.floats(0.02, 20.0), st.lists(EVENT, max_size=200))
-def test_never_more_under_way_than_its_bound(
+def test_requests_in_flight_never_exceed_the_bound(
     size: float, events: list[tuple[str, float, float, bool]]
 ) -> None:
-    made, now_ms = window(size), 0.0
-    for what, passed, figure, more in events:
-        now_ms += passed
-        if what == "ask":
-            allowed = int(max(1.0, made.size) + 1e-9) + 1 + more
-            if not made.is_full(now_ms, int(more)):
-                made.attempt_sent(now_ms, 1.0)
-                assert made.in_flight <= allowed
-        elif what == "end" and made.in_flight:
-            made.attempt_ended(now_ms, figure)
-        elif what == "told":
-            made.record_inflation(now_ms, figure)
-        assert made.size >= STATED.min_size
-        assert made.in_flight >= 0
+    window, now_ms = make_window(size), 0.0
+    for kind, elapsed_ms, value, borrows in events:
+        now_ms += elapsed_ms
+        if kind == "ask":
+            allowed = int(max(1.0, window.size) + 1e-9) + 1 + borrows
+            if not window.is_full(now_ms, int(borrows)):
+                window.attempt_sent(now_ms, 1.0)
+                assert window.in_flight <= allowed
+        elif kind == "end" and window.in_flight:
+            window.attempt_ended(now_ms, value)
+        elif kind == "told":
+            window.record_inflation(now_ms, value)
+        assert window.size >= STATED.min_size
+        assert window.in_flight >= 0
--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -1,4 +1,4 @@
-"""Admission under the balancer: no I/O, the time as an argument."""
+"""Load shedding under the balancer, without I/O and with a simulated time."""
 
 from __future__ import annotations
 
@@ -30,190 +30,195 @@
 from tests.driver import SAFE, SETTINGS, UNSAFE, Driver, endpoint
 from tests.support.fixed_draws import fixed_draws
 
-FLEET = tuple(endpoint(f"{hall}{n}", zone=hall) for hall in "ab" for n in range(3))
-PLAIN = replace(SETTINGS, report_fields=("inflight", "queue", "latency_ms"))
-IDLE, CROWDED = (2.0, 0.0, 40.0), (24.0, 20.0, 40.0)
+FLEET = tuple(endpoint(f"{zone}{n}", zone=zone) for zone in "ab" for n in range(3))
+BALANCER_SETTINGS = replace(SETTINGS, report_fields=("inflight", "queue", "latency_ms"))
+IDLE, CONGESTED = (2.0, 0.0, 40.0), (24.0, 20.0, 40.0)
 
 
-def driver(operators: Operators, plain: object = PLAIN) -> Driver:
-    made = Driver(plain, ())  # type: ignore[arg-type]
-    made.balancer = Balancer(plain, 1, operators.balancer_hook(plain, 1))  # type: ignore[arg-type]
-    made.tell(EndpointsListed(ListKind.FULL, FLEET))
-    for known in made.balancer.endpoint_set.endpoints.values():
-        known.concurrency_limit = 50.0  # what holds back is the advisor
-    return made
+def make_driver(operators: Operators, balancer_settings: object = BALANCER_SETTINGS) -> Driver:
+    driver = Driver(balancer_settings, ())  # type: ignore[arg-type]
+    driver.balancer = Balancer(balancer_settings, 1, operators.balancer_hook(balancer_settings, 1))  # type: ignore[arg-type]
+    driver.tell(EndpointsListed(ListKind.FULL, FLEET))
+    for known in driver.balancer.endpoint_set.endpoints.values():
+        known.concurrency_limit = 50.0  # so high that only the hook limits requests
+    return driver
 
 
-ON = Operators(overload=OverloadSettings())
+OVERLOAD_ON = Operators(overload=OverloadSettings())
 
 
-def overload(made: Driver) -> LoadShedding:
-    advisor = made.balancer.hook
-    assert isinstance(advisor, LoadShedding)
-    return advisor
+def overload_hook(driver: Driver) -> LoadShedding:
+    hook = driver.balancer.hook
+    assert isinstance(hook, LoadShedding)
+    return hook
 
 
-def crowd(advisor: LoadShedding, from_ms: float, times: int = 40) -> None:
-    """Reports say that five times as much waits as is in work, for four seconds."""
-    for step in range(times):
-        advisor.window.in_flight += 1
-        advisor.attempt_ended(from_ms + step * 100.0, FLEET[step % 6], Outcome.OK, 5.0, False, CROWDED, 200.0)
+def record_congestion(hook: LoadShedding, from_ms: float, count: int = 40) -> None:
+    """Record answers whose reports show five requests queued for each one executed, 100 ms apart."""
+    for step in range(count):
+        hook.window.in_flight += 1
+        hook.attempt_ended(from_ms + step * 100.0, FLEET[step % 6], Outcome.OK, 5.0, False, CONGESTED, 200.0)
 
 
-def test_with_servers_idle_nothing_is_refused_whatever_is_asked() -> None:
-    made = driver(ON)
+def test_nothing_is_rejected_while_endpoints_are_idle() -> None:
+    driver = make_driver(OVERLOAD_ON)
     for step in range(2000):
-        request, actions = made.request(("safe", "unsafe", "keyed")[step % 3])
+        request, actions = driver.request(("safe", "unsafe", "keyed")[step % 3])
         assert any(isinstance(a, Send) for a in actions)
-        made.wait(5.0)
+        driver.wait(5.0)
         attempt = AttemptEnded(request, 0, Outcome.OK, 5.0, answered=True, report=IDLE)
-        made.tell(attempt)
-    assert not any(isinstance(a, Reject) for a in made.log)
+        driver.tell(attempt)
+    assert not any(isinstance(a, Reject) for a in driver.log)
 
 
-def test_with_servers_full_the_least_worthy_are_refused_at_once_and_the_worthiest_served() -> None:
-    made = driver(Operators(overload=OverloadSettings(growth=0.01, cut=0.01)))
+def test_under_congestion_low_priority_is_rejected_at_once_and_high_priority_served() -> None:
+    driver = make_driver(Operators(overload=OverloadSettings(growth=0.01, cut=0.01)))
     for _ in range(100):
         for name in ("safe", "unsafe"):
-            overload(made).admission.request_arrived(name, 10.0)
-    overload(made).window.size = 0.5
-    refused = {"safe": 0, "unsafe": 0}
+            overload_hook(driver).admission.request_arrived(name, 10.0)
+    overload_hook(driver).window.size = 0.5
+    rejected = {"safe": 0, "unsafe": 0}
     for _ in range(100):
-        for name in refused:
-            request, actions = made.request(name)
-            refused[name] += any(isinstance(a, Reject) for a in actions)
-            if request in made.sent:
-                made.tell(AttemptEnded(request, 0, Outcome.OK, 5.0, answered=True))
-    assert refused["unsafe"] <= 2
-    assert refused["safe"] >= 90
-
-
-def test_the_share_comes_back_when_the_crowd_has_gone() -> None:
-    made = driver(ON)
-    crowd(overload(made), made.now_ms)
-    made.wait(4000.0)
-    assert overload(made).window.share < 0.5
-    began = made.now_ms
-    while overload(made).window.share < 1.0:
-        request, _ = made.request("unsafe")
-        made.wait(50.0)
-        if request in made.sent:
-            made.tell(AttemptEnded(request, 0, Outcome.OK, 50.0, answered=True, report=IDLE))
-        assert made.now_ms - began < 10_000.0
-    request, _ = made.request("unsafe")
-    made.tell(AttemptEnded(request, 0, Outcome.OK, 50.0, answered=True, report=IDLE))
-    told = [a.text for a in made.log if hasattr(a, "text")]
-    assert any("servers are full" in text for text in told)
-    assert any("have room" in text for text in told)
-
-
-def test_a_window_cut_while_servers_were_full_is_back_soon_after() -> None:
-    """Danger: a second of crowd, and ten of refusals before idle servers."""
-    began: dict[int, float] = {}
-    for ready in (2, 6):  # an instance's part is 5 requests, and 16
+        for name in rejected:
+            request, actions = driver.request(name)
+            rejected[name] += any(isinstance(a, Reject) for a in actions)
+            if request in driver.sent:
+                driver.tell(AttemptEnded(request, 0, Outcome.OK, 5.0, answered=True))
+    assert rejected["unsafe"] <= 2
+    assert rejected["safe"] >= 90
+
+
+def test_the_admitted_share_recovers_after_congestion() -> None:
+    driver = make_driver(OVERLOAD_ON)
+    record_congestion(overload_hook(driver), driver.now_ms)
+    driver.wait(4000.0)
+    assert overload_hook(driver).window.share < 0.5
+    began_ms = driver.now_ms
+    while overload_hook(driver).window.share < 1.0:
+        request, _ = driver.request("unsafe")
+        driver.wait(50.0)
+        if request in driver.sent:
+            driver.tell(AttemptEnded(request, 0, Outcome.OK, 50.0, answered=True, report=IDLE))
+        assert driver.now_ms - began_ms < 10_000.0
+    request, _ = driver.request("unsafe")
+    driver.tell(AttemptEnded(request, 0, Outcome.OK, 50.0, answered=True, report=IDLE))
+    log_texts = [a.text for a in driver.log if hasattr(a, "text")]
+    assert any("servers are full" in text for text in log_texts)
+    assert any("have room" in text for text in log_texts)
+
+
+def test_a_window_cut_under_congestion_recovers_soon() -> None:
+    """A second of congestion must not lead to ten seconds of rejections while endpoints are idle."""
+    recovered_after_ms: dict[int, float] = {}
+    for ready in (2, 6):  # an instance's part is 5 requests, or 16
         window = ConcurrencyWindow(OverloadSettings().window_settings())
         window.start(16.0 * ready / 6.0)
         for step in range(20):
             window.record_inflation(step * 100.0, 5.4)
-        assert window.size < 0.1 * window_part(ready)
+        assert window.size < 0.1 * initial_size(ready)
         now_ms = 2000.0
-        while window.size < 0.5 * window_part(ready):
+        while window.size < 0.5 * initial_size(ready):
             now_ms += 100.0
             window.is_full(now_ms, -1e9)
-            window.record_inflation(now_ms, 1.5)  # neither idle nor crowded
-        began[ready] = now_ms - 2000.0
-    assert max(began.values()) < 6000.0
-    assert began[6] < 2.0 * began[2]
+            window.record_inflation(now_ms, 1.5)  # neither idle nor congested
+        recovered_after_ms[ready] = now_ms - 2000.0
+    assert max(recovered_after_ms.values()) < 6000.0
+    assert recovered_after_ms[6] < 2.0 * recovered_after_ms[2]
 
 
-def window_part(ready: int) -> float:
+def initial_size(ready: int) -> float:
     return 16.0 * ready / 6.0
 
 
-def test_with_more_instances_than_servers_that_see_few_of_them_these_are_fed_less() -> None:
-    def target(proxies: int, servers: int) -> float:
-        made = LoadShedding(OverloadSettings(), replace(PLAIN, proxies=proxies))
-        made.endpoints_listed(0.0, [endpoint(f"s{n}") for n in range(servers)])
-        assert isinstance(made.window, ConcurrencyWindow)
-        return made.window.target
+def test_many_instances_that_use_few_endpoints_each_have_a_lower_target() -> None:
+    def target_inflation(proxies: int, servers: int) -> float:
+        hook = LoadShedding(OverloadSettings(), replace(BALANCER_SETTINGS, proxies=proxies))
+        hook.endpoints_listed(0.0, [endpoint(f"s{n}") for n in range(servers)])
+        assert isinstance(hook.window, ConcurrencyWindow)
+        return hook.window.target
 
     stated = OverloadSettings().target_inflation
-    assert target(60, 60) == target(30, 9) == target(3, 9) == stated
-    assert target(64, 42) == target(200, 130) == pytest.approx(SUBSET_TARGET_SHARE * stated)
-
-
-def test_no_request_is_held_past_the_moment_when_it_could_be_in_time() -> None:
-    made = driver(ON)
-    overload(made).window.size = 1.0
-    first, _ = made.request("unsafe")
-    assert first in made.sent
-    waiting = [made.request(name)[0] for name in ("safe", "unsafe", "safe", "unsafe") for _ in range(20)]
-    made.wait(SAFE.latency_objective_ms)
-    ended = {a.request_id for a in made.log if isinstance(a, Reject)} | set(made.sent)
+    assert target_inflation(60, 60) == target_inflation(30, 9) == target_inflation(3, 9) == stated
+    assert (
+        target_inflation(64, 42) == target_inflation(200, 130) == pytest.approx(SUBSET_TARGET_SHARE * stated)
+    )
+
+
+def test_no_request_stays_pending_after_it_can_no_longer_be_in_time() -> None:
+    driver = make_driver(OVERLOAD_ON)
+    overload_hook(driver).window.size = 1.0
+    first, _ = driver.request("unsafe")
+    assert first in driver.sent
+    waiting = [driver.request(name)[0] for name in ("safe", "unsafe", "safe", "unsafe") for _ in range(20)]
+    driver.wait(SAFE.latency_objective_ms)
+    ended = {a.request_id for a in driver.log if isinstance(a, Reject)} | set(driver.sent)
     assert set(waiting) <= ended
-    assert not any(made.balancer.pending.values())
+    assert not any(driver.balancer.pending.values())
 
 
-def test_held_requests_go_out_the_worthiest_first() -> None:
-    made = driver(ON)
-    overload(made).window.size = 1.0
-    made.request("unsafe")
-    overload(made).window.in_flight = 10  # as others do that are not played here
-    asked = [made.request(name)[0] for name in ("safe", "unsafe", "safe")]
-    overload(made).window.in_flight = 1
-    made.tell()
-    sent = [request for request in asked if request in made.sent]
-    assert sent == [asked[1]]
+def test_pending_requests_are_sent_by_priority() -> None:
+    driver = make_driver(OVERLOAD_ON)
+    overload_hook(driver).window.size = 1.0
+    driver.request("unsafe")
+    overload_hook(driver).window.in_flight = 10  # requests that are not simulated here
+    requests = [driver.request(name)[0] for name in ("safe", "unsafe", "safe")]
+    overload_hook(driver).window.in_flight = 1
+    driver.tell()
+    sent = [request for request in requests if request in driver.sent]
+    assert sent == [requests[1]]
 
 
-def test_an_age_known_makes_what_is_late_anyway_be_refused_at_once() -> None:
-    made = driver(ON)
-    late = RequestArrived(1, "safe", first_request_ms=made.now_ms - SAFE.latency_objective_ms)
-    assert made.tell(late) == [Reject(1, 0.0)]
-    young = RequestArrived(2, "safe", first_request_ms=made.now_ms - 0.2 * SAFE.latency_objective_ms)
-    assert any(isinstance(a, Send) for a in made.tell(young))
+def test_a_retry_that_would_be_late_is_rejected_at_once() -> None:
+    driver = make_driver(OVERLOAD_ON)
+    late = RequestArrived(1, "safe", first_request_ms=driver.now_ms - SAFE.latency_objective_ms)
+    assert driver.tell(late) == [Reject(1, 0.0)]
+    recent = RequestArrived(2, "safe", first_request_ms=driver.now_ms - 0.2 * SAFE.latency_objective_ms)
+    assert any(isinstance(a, Send) for a in driver.tell(recent))
 
 
-def test_refusals_say_when_to_come_back_where_settings_allow_it_and_spread_over_time() -> None:
-    allowed = replace(PLAIN, limits=replace(PLAIN.limits, retry_after=True, max_retry_after_ms=600.0))
+def test_rejections_carry_jittered_retry_after_times_if_settings_allow_them() -> None:
+    allowed = replace(
+        BALANCER_SETTINGS,
+        limits=replace(BALANCER_SETTINGS.limits, retry_after=True, max_retry_after_ms=600.0),
+    )
     stated = Operators(overload=OverloadSettings(retry_after_ms=(200.0, 700.0)))
-    for plain, waits in ((PLAIN, False), (allowed, True)):
-        made = driver(stated, plain)
+    for balancer_settings, has_retry_after in ((BALANCER_SETTINGS, False), (allowed, True)):
+        driver = make_driver(stated, balancer_settings)
         for number in range(50):
-            made.tell(RequestArrived(1000 + number, "safe", first_request_ms=made.now_ms - 2000.0))
-        told = [a.retry_after_ms for a in made.log if isinstance(a, Reject)]
-        assert len(told) == 50
-        if waits:
-            assert all(200.0 <= wait <= 600.0 for wait in told)
-            assert len(set(told)) > 30
+            driver.tell(RequestArrived(1000 + number, "safe", first_request_ms=driver.now_ms - 2000.0))
+        times_ms = [a.retry_after_ms for a in driver.log if isinstance(a, Reject)]
+        assert len(times_ms) == 50
+        if has_retry_after:
+            assert all(200.0 <= time_ms <= 600.0 for time_ms in times_ms)
+            assert len(set(times_ms)) > 30
         else:
-            assert set(told) == {0.0}
+            assert set(times_ms) == {0.0}
 
 
-def test_nothing_is_kept_for_what_ended() -> None:
-    made = driver(ON)
-    advisor = overload(made)
+def test_no_state_is_kept_for_ended_requests() -> None:
+    driver = make_driver(OVERLOAD_ON)
+    hook = overload_hook(driver)
     for number in range(3000):
-        fleet = (endpoint(f"s{number}", zone="a"), endpoint(f"s{number + 1}", zone="a"))
-        made.tell(EndpointsListed(ListKind.FULL, fleet))
-        # One of no class that is known, too.
-        request, _ = made.request(("unsafe", "nobody's")[number % 2])
-        if request in made.sent:
+        endpoints = (endpoint(f"s{number}", zone="a"), endpoint(f"s{number + 1}", zone="a"))
+        driver.tell(EndpointsListed(ListKind.FULL, endpoints))
+        # Also a request of an unknown class.
+        request, _ = driver.request(("unsafe", "nobody's")[number % 2])
+        if request in driver.sent:
             outcome = (Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT)[number % 3]
-            made.tell(AttemptEnded(request, 0, outcome, 9.0, outcome is Outcome.OK, report=IDLE))
-        made.wait(20.0)
-    made.wait(10_000.0)
-    assert advisor.window.in_flight == 0
-    assert len(advisor.congestion) <= 2
-    assert not made.balancer.requests
-    assert not made.balancer.timers
+            driver.tell(AttemptEnded(request, 0, outcome, 9.0, outcome is Outcome.OK, report=IDLE))
+        driver.wait(20.0)
+    driver.wait(10_000.0)
+    assert hook.window.in_flight == 0
+    assert len(hook.congestion) <= 2
+    assert not driver.balancer.requests
+    assert not driver.balancer.timers
 
 
-# Several advisors
+# Several hooks
 
 
-class Deny(BalancerHook):
-    """Denies what it is made to."""
+class FixedHook(BalancerHook):
+    """Returns fixed answers to the balancer."""
 
     def __init__(self, orders_zones: bool, zones: tuple[str, ...], accepts: bool, admits: bool) -> None:
         self.orders_zones = orders_zones
@@ -234,7 +239,7 @@
 @given(
     st.lists(
         st.builds(
-            Deny,
+            FixedHook,
             st.booleans(),
             st.permutations(("a", "b", "c")).flatmap(lambda p: st.integers(1, 3).map(lambda n: tuple(p[:n]))),
             st.booleans(),
@@ -244,33 +249,37 @@
         max_size=4,
     )
 )
-def test_composed_advisors_only_narrow_in_any_number_and_order(advisors: list[Deny]) -> None:
-    made, context = CompositeHook(advisors), PickContext(SAFE)
-    assert made.accepts_request(0.0, context) == all(each.accepts_request(0.0, context) for each in advisors)
-    assert made.admits(0.0, "a", context) == all(each.admits(0.0, "a", context) for each in advisors)
-    ordered = list(made.zone_order(0.0, context))
-    halls = [each for each in advisors if each.orders_zones]
+def test_composite_hooks_only_narrow_in_any_number_and_order(hooks: list[FixedHook]) -> None:
+    composite, context = CompositeHook(hooks), PickContext(SAFE)
+    assert composite.accepts_request(0.0, context) == all(
+        hook.accepts_request(0.0, context) for hook in hooks
+    )
+    assert composite.admits(0.0, "a", context) == all(hook.admits(0.0, "a", context) for hook in hooks)
+    ordered = list(composite.zone_order(0.0, context))
+    ordering = [hook for hook in hooks if hook.orders_zones]
     common = (
-        set("abc").intersection(*(set(each.zone_order(0.0, context)) for each in halls)) if halls else set()
+        set("abc").intersection(*(set(hook.zone_order(0.0, context)) for hook in ordering))
+        if ordering
+        else set()
     )
     if common:
         assert set(ordered) == common
-        first = [hall for hall in halls[0].zone_order(0.0, context) if hall in common]
+        first = [zone for zone in ordering[0].zone_order(0.0, context) if zone in common]
         assert ordered == first
 
 
-def test_what_the_file_states_makes_the_advisor() -> None:
-    assert Operators().balancer_hook(PLAIN, 1) is None
-    assert isinstance(ON.balancer_hook(PLAIN, 1), LoadShedding)
-    assert isinstance(Operators(LocalitySettings()).balancer_hook(PLAIN, 1), LocalityRouter)
-    both = Operators(LocalitySettings(), OverloadSettings()).balancer_hook(PLAIN, 1)
+def test_the_operators_file_selects_the_hooks() -> None:
+    assert Operators().balancer_hook(BALANCER_SETTINGS, 1) is None
+    assert isinstance(OVERLOAD_ON.balancer_hook(BALANCER_SETTINGS, 1), LoadShedding)
+    assert isinstance(Operators(LocalitySettings()).balancer_hook(BALANCER_SETTINGS, 1), LocalityRouter)
+    both = Operators(LocalitySettings(), OverloadSettings()).balancer_hook(BALANCER_SETTINGS, 1)
     assert isinstance(both, CompositeHook)
     assert both.orders_zones
     assert both.limits_concurrency
-    made = Balancer(PLAIN, 1, both)
-    made.handle(0.0, [EndpointsListed(ListKind.FULL, FLEET)])
-    (send,) = [a for a in made.handle(1.0, [RequestArrived(1, "safe")]) if isinstance(a, Send)]
-    assert send.endpoint.startswith("a")  # its own hall
+    balancer = Balancer(BALANCER_SETTINGS, 1, both)
+    balancer.handle(0.0, [EndpointsListed(ListKind.FULL, FLEET)])
+    (send,) = [a for a in balancer.handle(1.0, [RequestArrived(1, "safe")]) if isinstance(a, Send)]
+    assert send.endpoint.startswith("a")  # its own zone
 
 
 GOOD = """
@@ -284,45 +293,47 @@
 """
 
 
-def test_the_table_is_read() -> None:
-    read = parse_operators(GOOD, "o.toml").overload
-    assert read is not None
-    assert read.class_order == ("entry-register",)
-    assert read.min_shares == {"extract-issue": 0.1}
-    assert read.window_settings().target_inflation == 2.5
-    assert read.retry_after_ms == (100.0, 300.0)
+def test_the_overload_table_is_read() -> None:
+    overload_settings = parse_operators(GOOD, "o.toml").overload
+    assert overload_settings is not None
+    assert overload_settings.class_order == ("entry-register",)
+    assert overload_settings.min_shares == {"extract-issue": 0.1}
+    assert overload_settings.window_settings().target_inflation == 2.5
+    assert overload_settings.retry_after_ms == (100.0, 300.0)
     assert parse_operators("[overload]\n", "o.toml").overload == OverloadSettings()
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "what"),
+    ("old", "new", "line", "message"),
     [
         ("target = 2.5", "target = 1", 4, "overload.target: 1 is not a number from 1.1 to 20"),
         ("target = 2.5", "traget = 2.5", 4, "overload.traget: not a known key"),
-        ('["entry-register"]', '["a", "a"]', 3, "overload.first: a class stands in it twice"),
+        ('["entry-register"]', '["a", "a"]', 3, "overload.first: it names a class twice"),
         ("extract-issue = 0.1", "extract-issue = 1.5", 8, "overload.least.extract-issue: 1.5 is not"),
         ("come_back_most_ms = 300", "come_back_most_ms = 30", 6, "overload.come_back_most_ms: it is less"),
     ],
 )
-def test_a_bad_table_is_refused_with_line_and_key(old: str, new: str, line: int, what: str) -> None:
-    with pytest.raises(TomlError) as caught:
+def test_a_bad_overload_table_is_rejected_with_line_and_key(
+    old: str, new: str, line: int, message: str
+) -> None:
+    with pytest.raises(TomlError) as raised:
         parse_operators(GOOD.replace(old, new), "o.toml")
-    assert f"o.toml:{line}: {what}" in str(caught.value)
-
-
-def test_a_listed_server_is_enough_to_begin() -> None:
-    made = LoadShedding(OverloadSettings(), replace(PLAIN, proxies=300))
-    made.endpoints_listed(0.0, [ListedEndpoint("s")])
-    assert isinstance(made.window, PacedConcurrency)
-    assert made.window.size == 8.0 / 300
-    made.window.size /= 2  # a crowd
-    for ready in (9, 0, 9):  # the rest of the list comes; a list of none changes nothing
-        made.endpoints_listed(1.0, [ListedEndpoint(f"s{n}") for n in range(ready)])
-        assert made.window.size == pytest.approx(9 * 4.0 / 300)
-    few = LoadShedding(OverloadSettings(), replace(PLAIN, proxies=16))
+    assert f"o.toml:{line}: {message}" in str(raised.value)
+
+
+def test_the_first_listed_endpoint_sets_the_initial_limit() -> None:
+    hook = LoadShedding(OverloadSettings(), replace(BALANCER_SETTINGS, proxies=300))
+    hook.endpoints_listed(0.0, [ListedEndpoint("s")])
+    assert isinstance(hook.window, PacedConcurrency)
+    assert hook.window.size == 8.0 / 300
+    hook.window.size /= 2  # a cut under congestion
+    for ready in (9, 0, 9):  # the rest of the list arrives; an empty list changes nothing
+        hook.endpoints_listed(1.0, [ListedEndpoint(f"s{n}") for n in range(ready)])
+        assert hook.window.size == pytest.approx(9 * 4.0 / 300)
+    few = LoadShedding(OverloadSettings(), replace(BALANCER_SETTINGS, proxies=16))
     few.endpoints_listed(0.0, [ListedEndpoint("s")])
     assert isinstance(few.window, ConcurrencyWindow)
     assert few.window.size == 1.0
-    many = LoadShedding(OverloadSettings(), replace(PLAIN, proxies=2, classes=(SAFE, UNSAFE)))
+    many = LoadShedding(OverloadSettings(), replace(BALANCER_SETTINGS, proxies=2, classes=(SAFE, UNSAFE)))
     many.endpoints_listed(0.0, [ListedEndpoint(f"s{n}") for n in range(9)])
     assert many.window.size == 72.0
--- a/tests/limits/test_trial_attempts.py
+++ b/tests/limits/test_trial_attempts.py
@@ -1,4 +1,4 @@
-"""A proxy whose own limits would refuse everybody still sends an attempt now and then."""
+"""A proxy whose own limits would reject every request still sends a recovery probe now and then."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 from client_proxy.recovery_probe import RECOVERY_PROBE_AFTER_MS, RECOVERY_PROBE_REQUESTS
 from tests.driver import KEYED, SAFE, SETTINGS, UNSAFE, Driver, endpoint
 
-PLATFORM = load_operators(Path(__file__).parents[2] / "deploy" / "platform.toml")
-LONGEST_MS = 4000.0  # without an attempt, while requests come and a server is ready
-WELL_MS, BAD_MS, WELL_AGAIN_MS = 3000.0, 15_000.0, 12_000.0
+PLATFORM_OPERATORS = load_operators(Path(__file__).parents[2] / "deploy" / "platform.toml")
+MAX_GAP_MS = 4000.0  # longest time without an attempt while requests arrive and an endpoint is ready
+HEALTHY_MS, FAULT_MS, RECOVERED_MS = 3000.0, 15_000.0, 12_000.0
 CLASSES = ("safe", "unsafe", "keyed")
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
-    """How an attempt ends. A latency of None: at its time-out."""
+class ScriptedResult:
+    """The result of an attempt; a latency of None means at its timeout."""
 
     outcome: Outcome
     latency_ms: float | None = None
@@ -55,41 +55,41 @@
         return replace(SETTINGS, classes=classes, proxies=self.proxies, report_fields=fields)
 
 
-def driver(fleet: Fleet, *endpoints: ListedEndpoint) -> Driver:
-    """A balancer as the platform runs it, with this list."""
+def make_driver(fleet: Fleet, *endpoints: ListedEndpoint) -> Driver:
+    """Makes a balancer with the platform's operators file and this endpoint list."""
     settings = fleet.settings()
-    made = Driver(settings, ())
-    made.balancer = Balancer(settings, 1, PLATFORM.balancer_hook(settings, 1))
-    made.tell(EndpointsListed(ListKind.FULL, endpoints))
-    return made
+    driver = Driver(settings, ())
+    driver.balancer = Balancer(settings, 1, PLATFORM_OPERATORS.balancer_hook(settings, 1))
+    driver.tell(EndpointsListed(ListKind.FULL, endpoints))
+    return driver
 
 
-QUICK = Ending(Outcome.OK, 20.0, (1.0, 0.0, 20.0))
-REFUSED = Ending(Outcome.REJECTED, 2.0, (30.0, 28.0, 9.0))
+FAST_ANSWER = ScriptedResult(Outcome.OK, 20.0, (1.0, 0.0, 20.0))
+REJECTION = ScriptedResult(Outcome.REJECTED, 2.0, (30.0, 28.0, 9.0))
 
 
-def slow(fleet: Fleet, random: Random) -> Ending:
-    return Ending(Outcome.OK, 0.45 * fleet.deadline_ms, (30.0, 28.0, 400.0))
+def slow_endpoints(fleet: Fleet, random: Random) -> ScriptedResult:
+    return ScriptedResult(Outcome.OK, 0.45 * fleet.deadline_ms, (30.0, 28.0, 400.0))
 
 
-def unanswered(fleet: Fleet, random: Random) -> Ending:
-    return Ending(Outcome.TIMEOUT)
+def silent(fleet: Fleet, random: Random) -> ScriptedResult:
+    return ScriptedResult(Outcome.TIMEOUT)
 
 
-def refused(fleet: Fleet, random: Random) -> Ending:
-    return REFUSED
+def rejecting(fleet: Fleet, random: Random) -> ScriptedResult:
+    return REJECTION
 
 
-def mixed(fleet: Fleet, random: Random) -> Ending:
-    return random.choice((REFUSED, Ending(Outcome.TIMEOUT), slow(fleet, random)))
+def mixed(fleet: Fleet, random: Random) -> ScriptedResult:
+    return random.choice((REJECTION, ScriptedResult(Outcome.TIMEOUT), slow_endpoints(fleet, random)))
 
 
-Servers = Callable[[Fleet, Random], Ending]
+EndpointBehavior = Callable[[Fleet, Random], ScriptedResult]
 
 
 @dataclass(slots=True)
-class Played:
-    """A run, with the times of its attempts and of the requests that came, from its start."""
+class ScenarioRun:
+    """A finished run: times of its attempts and its requests, in ms from its start."""
 
     attempts_ms: list[float]
     arrivals_ms: list[float]
@@ -98,122 +98,128 @@
         return max(b - a for a, b in zip(self.attempts_ms, [*self.attempts_ms[1:], end_ms], strict=True))
 
 
-def play(fleet: Fleet, servers: Servers, rate_per_s: float = 5.0) -> Played:
-    """Requests at random times before servers that are well, then as stated, then well again."""
-    made = driver(fleet, *(endpoint(f"s{number}") for number in range(fleet.servers)))
+def run_scenario(fleet: Fleet, behavior: EndpointBehavior, rate_per_s: float = 5.0) -> ScenarioRun:
+    """Sends requests at random times to endpoints that are healthy, then behave as given, then recover."""
+    driver = make_driver(fleet, *(endpoint(f"s{number}") for number in range(fleet.servers)))
     random = Random(1)
-    start_ms = made.now_ms
-    bad_from_ms = start_ms + WELL_MS
-    bad_until_ms = bad_from_ms + BAD_MS
-    end_ms = bad_until_ms + WELL_AGAIN_MS
-    played = Played([], [])
-    under_way: list[tuple[float, int, int, Ending]] = []
-    numbers: dict[int, int] = {}  # attempts by request
-
-    def take_sends() -> None:
-        for action in made.log:
+    start_ms = driver.now_ms
+    fault_from_ms = start_ms + HEALTHY_MS
+    fault_until_ms = fault_from_ms + FAULT_MS
+    end_ms = fault_until_ms + RECOVERED_MS
+    run = ScenarioRun([], [])
+    in_flight: list[tuple[float, int, int, ScriptedResult]] = []
+    attempt_counts: dict[int, int] = {}  # number of attempts by request
+
+    def start_attempts() -> None:
+        for action in driver.log:
             if not isinstance(action, Send):
                 continue
-            number = numbers.get(action.request_id, 0)
-            numbers[action.request_id] = number + 1
-            bad = bad_from_ms <= made.now_ms < bad_until_ms
-            ending = servers(fleet, random) if bad else QUICK
-            if ending.latency_ms is None or ending.latency_ms >= action.timeout_ms:
-                ending = Ending(Outcome.TIMEOUT, action.timeout_ms)
-            assert ending.latency_ms is not None
-            under_way.append((made.now_ms + ending.latency_ms, action.request_id, number, ending))
-            played.attempts_ms.append(made.now_ms - start_ms)
-        made.log.clear()
+            number = attempt_counts.get(action.request_id, 0)
+            attempt_counts[action.request_id] = number + 1
+            is_faulty = fault_from_ms <= driver.now_ms < fault_until_ms
+            result = behavior(fleet, random) if is_faulty else FAST_ANSWER
+            if result.latency_ms is None or result.latency_ms >= action.timeout_ms:
+                result = ScriptedResult(Outcome.TIMEOUT, action.timeout_ms)
+            assert result.latency_ms is not None
+            in_flight.append((driver.now_ms + result.latency_ms, action.request_id, number, result))
+            run.attempts_ms.append(driver.now_ms - start_ms)
+        driver.log.clear()
 
     next_ms = start_ms
-    while made.now_ms < end_ms:
-        under_way.sort(key=lambda each: each[0])
-        due_ms = [next_ms, *(each[0] for each in under_way[:1]), *(each[0] for each in made.timers)]
-        made.wait(max(0.0, min(due_ms) - made.now_ms))
-        take_sends()
-        while under_way and under_way[0][0] <= made.now_ms:
-            _, request_id, number, ending = under_way.pop(0)
-            answered = ending.outcome is Outcome.OK
-            latency_ms = ending.latency_ms or 0.0
-            made.tell(AttemptEnded(request_id, number, ending.outcome, latency_ms, answered, ending.report))
-            take_sends()
-        if next_ms <= made.now_ms:
-            made.request(random.choice(CLASSES))
-            played.arrivals_ms.append(made.now_ms - start_ms)
-            take_sends()
+    while driver.now_ms < end_ms:
+        in_flight.sort(key=lambda each: each[0])
+        next_events_ms = [
+            next_ms,
+            *(each[0] for each in in_flight[:1]),
+            *(each[0] for each in driver.timers),
+        ]
+        driver.wait(max(0.0, min(next_events_ms) - driver.now_ms))
+        start_attempts()
+        while in_flight and in_flight[0][0] <= driver.now_ms:
+            _, request_id, number, result = in_flight.pop(0)
+            is_answered = result.outcome is Outcome.OK
+            latency_ms = result.latency_ms or 0.0
+            driver.tell(
+                AttemptEnded(request_id, number, result.outcome, latency_ms, is_answered, result.report)
+            )
+            start_attempts()
+        if next_ms <= driver.now_ms:
+            driver.request(random.choice(CLASSES))
+            run.arrivals_ms.append(driver.now_ms - start_ms)
+            start_attempts()
             next_ms += random.expovariate(rate_per_s / 1000.0)
-    return played
+    return run
 
 
 @pytest.mark.parametrize(
     ("servers", "fleet"),
     [
-        # Each but `refused` left more than four seconds without an attempt: up to 6.8.
-        (slow, Fleet(proxies=200, servers=12, deadline_ms=3000.0)),
-        (slow, Fleet(proxies=300, servers=3, deadline_ms=1000.0)),
-        (slow, Fleet(proxies=300, servers=3, deadline_ms=3000.0, reports=False)),
-        (slow, Fleet(proxies=200, servers=1, deadline_ms=1000.0, reports=False)),
+        # Without recovery probes, each case but `rejecting` had gaps of more than four seconds, up to 6.8.
+        (slow_endpoints, Fleet(proxies=200, servers=12, deadline_ms=3000.0)),
+        (slow_endpoints, Fleet(proxies=300, servers=3, deadline_ms=1000.0)),
+        (slow_endpoints, Fleet(proxies=300, servers=3, deadline_ms=3000.0, reports=False)),
+        (slow_endpoints, Fleet(proxies=200, servers=1, deadline_ms=1000.0, reports=False)),
         (mixed, Fleet(proxies=300, servers=3, deadline_ms=3000.0)),
         (mixed, Fleet(proxies=3, servers=1, deadline_ms=3000.0)),
-        (unanswered, Fleet(proxies=200, servers=1, deadline_ms=3000.0)),
-        (refused, Fleet(proxies=200, servers=130, deadline_ms=1000.0)),
+        (silent, Fleet(proxies=200, servers=1, deadline_ms=3000.0)),
+        (rejecting, Fleet(proxies=200, servers=130, deadline_ms=1000.0)),
     ],
 )
-def test_own_limits_never_keep_everybody_waiting_for_long(servers: Servers, fleet: Fleet) -> None:
-    played = play(fleet, servers)
-    assert played.longest_gap_ms(WELL_MS + BAD_MS + WELL_AGAIN_MS) < LONGEST_MS
+def test_own_limits_never_stop_all_attempts_for_long(servers: EndpointBehavior, fleet: Fleet) -> None:
+    run = run_scenario(fleet, servers)
+    assert run.longest_gap_ms(HEALTHY_MS + FAULT_MS + RECOVERED_MS) < MAX_GAP_MS
 
 
 @pytest.mark.parametrize("fleet", [Fleet(200, 1, 3000.0, reports=False), Fleet(300, 3, 3000.0)])
-def test_trials_do_not_keep_a_proxy_down_after_its_servers_are_well(fleet: Fleet) -> None:
-    # Each quick answer to a trial counted as one of ten at a slow server, and cut the duty once more.
-    played = play(fleet, slow)
-    last_ms = WELL_MS + BAD_MS + 0.6 * WELL_AGAIN_MS
+def test_probes_do_not_keep_limits_low_after_endpoints_have_recovered(fleet: Fleet) -> None:
+    # A fast answer to a probe must not count as one of ten at a slow endpoint, and cut the limit once more.
+    run = run_scenario(fleet, slow_endpoints)
+    last_ms = HEALTHY_MS + FAULT_MS + 0.6 * RECOVERED_MS
     attempts, arrivals = (
-        sum(each >= last_ms for each in times) for times in (played.attempts_ms, played.arrivals_ms)
+        sum(each >= last_ms for each in times) for times in (run.attempts_ms, run.arrivals_ms)
     )
     assert attempts >= 0.7 * arrivals
 
 
-def attempts_of_the_shut(listed: ListedEndpoint, every_ms: float, length_ms: float) -> list[float]:
-    """When attempts went out, from the first request on, where each learned limit of the server is closed."""
-    made = driver(Fleet(proxies=3, servers=1, deadline_ms=1000.0), listed)
-    for known in made.balancer.endpoint_set.endpoints.values():
+def attempt_times_with_closed_limit(listed: ListedEndpoint, every_ms: float, length_ms: float) -> list[float]:
+    """Returns the times of attempts, from the first request on, while the learned limit admits nothing."""
+    driver = make_driver(Fleet(proxies=3, servers=1, deadline_ms=1000.0), listed)
+    for known in driver.balancer.endpoint_set.endpoints.values():
         known.paused_until_ms = float("inf")
-    start_ms = made.now_ms
+    start_ms = driver.now_ms
     times: list[float] = []
-    while made.now_ms - start_ms < length_ms:
-        made.request("unsafe")
-        for send in [action for action in made.log if isinstance(action, Send)]:
-            times.append(made.now_ms - start_ms)
-            made.tell(AttemptEnded(send.request_id, 0, Outcome.ERROR, 1.0, answered=False))
-        made.log.clear()
-        made.wait(every_ms)
+    while driver.now_ms - start_ms < length_ms:
+        driver.request("unsafe")
+        for send in [action for action in driver.log if isinstance(action, Send)]:
+            times.append(driver.now_ms - start_ms)
+            driver.tell(AttemptEnded(send.request_id, 0, Outcome.ERROR, 1.0, answered=False))
+        driver.log.clear()
+        driver.wait(every_ms)
     return times
 
 
-def test_a_trial_goes_out_when_everything_was_refused_for_long() -> None:
-    times = attempts_of_the_shut(endpoint("s"), every_ms=100.0, length_ms=8000.0)
+def test_a_probe_is_sent_after_everything_was_rejected_for_long() -> None:
+    times = attempt_times_with_closed_limit(endpoint("s"), every_ms=100.0, length_ms=8000.0)
     assert times[0] == pytest.approx(RECOVERY_PROBE_AFTER_MS, abs=100.0)
     assert len(times) == 3
 
 
-def test_few_requests_are_no_reason_for_a_trial() -> None:
-    # Danger: of hundreds of proxies with a request every few seconds each would send every one of them.
-    (first_ms,) = attempts_of_the_shut(endpoint("s"), every_ms=2000.0, length_ms=10_000.0)
+def test_few_rejected_requests_cause_no_probe() -> None:
+    # Otherwise each of hundreds of proxies with a request every few seconds would send all of them as probes.
+    (first_ms,) = attempt_times_with_closed_limit(endpoint("s"), every_ms=2000.0, length_ms=10_000.0)
     assert first_ms == (RECOVERY_PROBE_REQUESTS - 1) * 2000.0
 
 
-def test_a_trial_passes_the_guards() -> None:
+def test_a_probe_respects_draining_and_slow_start() -> None:
     draining = endpoint("s", state=EndpointState.DRAINING)
-    assert not attempts_of_the_shut(draining, every_ms=100.0, length_ms=8000.0)
-    # Started just now, and one of hundreds of proxies' share of it is far less than one request.
-    cold = driver(Fleet(proxies=300, servers=1, deadline_ms=1000.0), endpoint("cold", started_ms=1000.0))
+    assert not attempt_times_with_closed_limit(draining, every_ms=100.0, length_ms=8000.0)
+    # It has just started, and the share of one of hundreds of proxies is far less than one request.
+    cold = make_driver(Fleet(proxies=300, servers=1, deadline_ms=1000.0), endpoint("cold", started_ms=1000.0))
     (server,) = cold.balancer.endpoint_set.endpoints.values()
     server.slow_start_credit_ms, server.slow_start_credit = cold.now_ms, 0.0
-    refused = 0
+    rejected = 0
     for _ in range(40):
-        refused += any(isinstance(action, Reject) for action in cold.request("unsafe")[1])
+        rejected += any(isinstance(action, Reject) for action in cold.request("unsafe")[1])
         cold.wait(100.0)
-    assert refused
+    assert rejected
     assert not cold.sent
