--- a/client_proxy/routing/__init__.py
+++ b/client_proxy/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions, without I/O and without a clock: zones by priority, weights, idle connections."""
+"""Routing decisions without I/O and without a clock: priority levels of zones, weights, idle connections."""
--- a/client_proxy/routing/connected.py
+++ b/client_proxy/routing/connected.py
@@ -1,13 +1,14 @@
-"""Which endpoints of a long list a proxy goes on using, where it may not hold a connection to each.
+"""Prefers endpoints with an open connection where a proxy may not hold a connection to each endpoint.
 
-With more endpoints in use than connections, most requests find no connection to the endpoint that they draw.
-Each closes the one that has been idle longest and dials: a handshake for each request, at any load. Where
-connections are short, endpoints with an idle connection are drawn first, and a small share of the requests
-goes anywhere, so that each endpoint of the list is met in time.
+With more endpoints in use than connections, most requests would find no connection to the endpoint that is
+picked. Each would close the connection that has been idle longest and dial a new one: a handshake for each
+request, at any load. So where connections are short, endpoints with an idle connection are drawn first, and a
+small share of the requests goes to any endpoint, so that each endpoint of the list is used in time.
 
-What is connected is inferred: the transport keeps the connections used last and closes the one idle longest.
-So the endpoints used last are those that have one. Where the inference is wrong, a request dials; nothing
-else depends on it. Every guard of the decisions stands behind what is drawn here.
+Which endpoints have a connection is inferred: the transport keeps the connections that were used last, and
+closes the one that has been idle longest. So the endpoints used last are connected. Where that inference is
+wrong, a request dials; nothing else depends on it. All checks of the balancer still apply to the endpoints
+that are drawn here.
 """
 
 from __future__ import annotations
@@ -18,16 +19,16 @@
 
 from client_proxy.api.events import EndpointState, ListedEndpoint
 
-# Of the connections that may be open. The rest is for second ones to an endpoint, and for requests that go
-# anywhere.
-KEPT_PART = 0.75
-# Share of the requests that go anywhere: under one in a hundred, so that 99 in 100 pay for no dial.
-ANYWHERE = 1 / 200
-MAX_DRAWS = 16  # for two endpoints
+# Endpoints that are kept, as a share of the connections that may be open. The rest is for second connections
+# to an endpoint, and for requests that go to any endpoint.
+KEPT_SHARE = 0.75
+# Share of the requests that go to any endpoint: under one in a hundred, so that 99 in 100 need no dial.
+ANY_ENDPOINT_SHARE = 1 / 200
+MAX_DRAWS = 16  # random draws for two endpoints
 
 
 class ConnectableEndpoint(Protocol):
-    """What is needed of an endpoint; each object stands for itself."""
+    """What this module needs of an endpoint; endpoints are compared by identity."""
 
     listed: ListedEndpoint
     last_used_ms: float | None
@@ -37,18 +38,20 @@
 
 
 class ConnectedEndpoints(Generic[EndpointT]):
-    """The endpoints that were used last, no more than connections are kept to.
+    """The endpoints that were used last, no more than there are connections kept for.
 
     Args:
-        connections: to endpoints, that may be open at once; None: not stated, and never short.
+        connections: to endpoints that may be open at once; None: not limited.
     """
 
     def __init__(self, connections: int | None) -> None:
         self._connections = connections
-        self._capacity = None if connections is None else max(2, int(KEPT_PART * connections))
+        self._capacity = None if connections is None else max(2, int(KEPT_SHARE * connections))
         self._more_in_use_than_connections = False
-        self._endpoints: list[EndpointT] = []  # in no order, to draw from
-        self._positions: dict[EndpointT, int] = {}  # of each in that list; the latest used last
+        self._endpoints: list[EndpointT] = []  # in no order, for random draws
+        self._positions: dict[
+            EndpointT, int
+        ] = {}  # index in `_endpoints`, in the order of use, the latest last
 
     def __len__(self) -> int:
         return len(self._endpoints)
@@ -57,12 +60,12 @@
         return endpoint in self._positions
 
     def __iter__(self) -> Iterator[EndpointT]:
-        """The latest used last."""
+        """Iterate in the order of use, the latest last."""
         return iter(self._positions)
 
     @property
     def connections_are_short(self) -> bool:
-        """Whether connections are short, and kept to as many endpoints as they are enough for."""
+        """Whether there are fewer connections than endpoints in use, and all that may be kept are in use."""
         return (
             self._more_in_use_than_connections
             and self._capacity is not None
@@ -82,18 +85,18 @@
             self._remove(next(iter(self._positions)))
 
     def attempt_ended(self, endpoint: EndpointT) -> None:
-        """Take note of the end of an attempt; `last_used_ms` tells whether a connection is left."""
+        """Take note of the end of an attempt; `last_used_ms` is None if no connection is left."""
         if endpoint.last_used_ms is not None:
             self.endpoint_used(endpoint)
         elif endpoint in self._positions:
             self._remove(endpoint)
 
     def endpoints_listed(self, endpoints: Iterable[EndpointT], used_endpoint_count: int) -> None:
-        """Drop the endpoints that may not get new requests: connections to them are closed.
+        """Drop the endpoints that are not listed as ready: connections to them are closed.
 
         Args:
-            endpoints: all that are known by now.
-            used_endpoint_count: how many of them this proxy draws from.
+            endpoints: all that are listed.
+            used_endpoint_count: how many of them this proxy uses.
         """
         self._more_in_use_than_connections = (
             self._connections is not None and used_endpoint_count > self._connections
@@ -110,8 +113,8 @@
             self._positions[last] = position
 
     def prefers_connected(self, random: Random) -> bool:
-        """Whether the next request goes to an endpoint with an idle connection, if it can."""
-        return self.connections_are_short and random.random() >= ANYWHERE
+        """Return whether the next request should go to an endpoint with an idle connection, if possible."""
+        return self.connections_are_short and random.random() >= ANY_ENDPOINT_SHARE
 
     def draw(
         self,
@@ -120,13 +123,13 @@
         has_idle_connection: Callable[[EndpointT], bool],
         allowed: Callable[[EndpointT], bool],
     ) -> list[EndpointT]:
-        """At most two different endpoints for a request.
+        """Draw at most two different endpoints for a request.
 
         Args:
             random: the source of the draws.
-            draw_any: draws an endpoint of all, for when too few with an idle connection are found.
-            has_idle_connection: whether the next request to an endpoint finds an idle connection.
-            allowed: whether an endpoint may take the request.
+            draw_any: draws one of all endpoints, used when fewer than two with an idle connection are found.
+            has_idle_connection: whether a request to the endpoint would find an idle connection.
+            allowed: whether the endpoint may take the request.
         """
         found: list[EndpointT] = []
         for _ in range(MAX_DRAWS):
--- a/client_proxy/routing/locality/__init__.py
+++ b/client_proxy/routing/locality/__init__.py
@@ -1,1 +1,1 @@
-"""Priority levels of zones: capacity estimates, the state of each zone, spillover and the recovery ramp."""
+"""Priority levels of zones: capacity estimates, the states of zones, spillover and recovery ramps."""
--- a/client_proxy/routing/locality/peak_rate.py
+++ b/client_proxy/routing/locality/peak_rate.py
@@ -1,13 +1,13 @@
-"""The highest rate at which one instance was served in time, lately."""
+"""The highest recent rate at which one instance was served in time."""
 
 from __future__ import annotations
 
-RATE_WINDOW_MS = 2000.0  # what was served in time is counted by windows of this length
-CAPACITY_HALF_LIFE_MS = 120_000.0  # a remembered rate halves in this time
+RATE_WINDOW_MS = 2000.0  # ms; length of the windows in which served requests are counted
+CAPACITY_HALF_LIFE_MS = 120_000.0  # ms in which a remembered rate halves
 
 
 class PeakRate:
-    """The most that was served in time by the second, of the windows lately."""
+    """The highest rate of requests served in time, over recent windows, with decay."""
 
     def __init__(self) -> None:
         self.per_s = 0.0
@@ -20,11 +20,11 @@
         self._count += 1
 
     def update(self, now_ms: float, decays: bool = True) -> float:
-        """Close the window if it is over; returns the rate by the second.
+        """Close the window if it is over; return the rate in requests a second.
 
         Args:
             now_ms: the time.
-            decays: whether the rate decays; not while the zone is kept from being used.
+            decays: whether the rate decays; False while limits keep the zone from being used.
         """
         if self._window_ms is None:
             self._window_ms = now_ms
--- a/client_proxy/routing/locality/rate_limit.py
+++ b/client_proxy/routing/locality/rate_limit.py
@@ -1,16 +1,16 @@
-"""A rate limit that many instances share without a word, each with its own part."""
+"""A rate limit of many instances that don't communicate; each limits itself to its own part."""
 
 from __future__ import annotations
 
-BURST_MS = 500.0  # a limit lets through so much of itself at once, or one request
+BURST_MS = 500.0  # ms; the burst is what the rate allows in this time, at least one request
 
 
 class RateLimit:
-    """A rate that holds over any span, but for a small burst.
+    """A token bucket whose rate may change with each call.
 
     Args:
-        initial_tokens: requests that it lets through at once at the start. Where thousands of instances send
-            to one zone that recovers, one each would overload it.
+        initial_tokens: requests that are allowed at once at the start. 0 for a zone that recovers: one
+            request from each of thousands of instances would overload it.
     """
 
     def __init__(self, initial_tokens: float = 0.0) -> None:
@@ -18,7 +18,7 @@
         self._filled_ms: float | None = None
 
     def tokens(self, now_ms: float, per_s: float) -> float:
-        """Requests that may go out now, at a rate of `per_s`."""
+        """Return the number of requests that may be sent now, at a rate of `per_s`."""
         if self._filled_ms is not None:
             self._tokens += per_s * max(0.0, now_ms - self._filled_ms) / 1000.0
         self._filled_ms = now_ms
@@ -27,9 +27,9 @@
 
     @staticmethod
     def burst(per_s: float) -> float:
-        """The most requests that it lets through at once."""
+        """Return the most requests that are allowed at once."""
         return max(1.0, per_s * BURST_MS / 1000.0)
 
     def take(self) -> None:
-        """Count a request."""
+        """Count a request that is sent."""
         self._tokens -= 1.0
--- a/client_proxy/routing/locality/router.py
+++ b/client_proxy/routing/locality/router.py
@@ -1,7 +1,7 @@
 """Routes requests over zones by priority levels, spillover and recovery ramps.
 
-One `LocalityRouter` is the hook of one balancer and goes by what that balancer alone sees; instances share
-nothing. So that the sum of all keeps a limit, each takes only its own part of it.
+A `LocalityRouter` is the hook of one balancer and knows only what that balancer observes; instances don't
+communicate. Each instance keeps to its own part of a limit, so that all together stay within it.
 """
 
 from __future__ import annotations
@@ -20,28 +20,29 @@
 from client_proxy.routing.locality.zone_state import Zone, ZoneEndpoint, ZoneState, ZoneView
 from client_proxy.routing.settings import LocalitySettings
 
-PATIENCE = 0.25  # of its latency objective, for which a request waits for the pace of a zone that recovers
-EARLY_SIGN = 2  # attempts unanswered in a row
-LOSS_SMOOTHING = 0.05
-ANSWERING_OUTAGE_FACTOR = 3  # times as many unanswered attempts, where some endpoints still seem healthy
+# Fraction of its latency objective for which a request waits for the rate limit of a recovering zone.
+LIMIT_WAIT_SHARE = 0.25
+EARLY_UNANSWERED = 2  # consecutive unanswered attempts from which on non-idempotent requests avoid a zone
+LOSS_SMOOTHING = 0.05  # gain of each attempt
+ANSWERING_OUTAGE_FACTOR = 3  # factor on the unanswered attempts needed while some endpoints seem healthy
 UNANSWERED = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED)
 NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.UNUSABLE)
-REJECTION_INFLATION = 4.0  # latency inflation that a rejection for want of capacity stands for
-MAX_EMPTY_ZONES = 16  # zones with no endpoint whose capacity is remembered
+REJECTION_INFLATION = 4.0  # latency inflation that a rejection by a full endpoint stands for
+MAX_EMPTY_ZONES = 16  # zones without endpoints whose capacity is remembered
 
 
 class LocalityRouter(BalancerHook):
-    """The hook.
+    """The hook that orders zones and limits what each zone gets.
 
     Args:
-        stated: what operators state.
-        settings: those of the balancer: its own zone, its part of the instances, its classes.
+        locality_settings: what operators state.
+        settings: those of the balancer: its own zone, the number of instances, its classes.
     """
 
     orders_zones = True
 
-    def __init__(self, stated: LocalitySettings, settings: Settings) -> None:
-        self._stated = stated
+    def __init__(self, locality_settings: LocalitySettings, settings: Settings) -> None:
+        self._locality_settings = locality_settings
         self._home = settings.zone
         self._report_fields = settings.report_fields
         weights = sorted((cls.priority_weight for cls in settings.classes), reverse=True)
@@ -52,12 +53,12 @@
         self.zones: dict[str, Zone] = {}
         self._levels: tuple[tuple[str, ...], ...] = ()
         self._estimator = CapacityEstimator(settings.proxies, settings.report_fields)
-        self._ramp = RecoveryRamp(stated, self._estimator, settings.proxies)
-        self._spillover = Spillover(stated, self._estimator, settings.zone, settings.proxies)
+        self._ramp = RecoveryRamp(locality_settings, self._estimator, settings.proxies)
+        self._spillover = Spillover(locality_settings, self._estimator, settings.zone, settings.proxies)
         self._log_lines: list[str] = []
 
     def inherit_from(self, predecessor: BalancerHook) -> None:
-        """Continue with the zones of a policy before: their capacities, states and limits."""
+        """Continue with the zones of the previous policy's hook: their capacities, states and limits."""
         if isinstance(predecessor, LocalityRouter):
             self.zones = predecessor.zones
             self._spillover.inherit_from(predecessor._spillover)
@@ -65,11 +66,11 @@
     # The endpoint list
 
     def endpoints_listed(self, now_ms: float, endpoints: Sequence[ListedEndpoint]) -> None:
-        """Update zones, and their states, by the list."""
+        """Update the zones and their states by the endpoint list."""
         occupied = {zone.name for zone in self.zones.values() if zone.endpoints}
         for zone in self.zones.values():
             if zone.state is ZoneState.UP and zone.endpoints:
-                # It stays known if its endpoints are no longer listed.
+                # The capacity stays known if the zone's endpoints are no longer listed.
                 zone.remembered_capacity_per_s = self.capacity_per_s(now_ms, zone)
         self._drop_unlisted({entry.name: entry for entry in endpoints})
         restarted = self._update_endpoints(now_ms, endpoints)
@@ -80,17 +81,21 @@
             elif zone.state is ZoneState.UNAVAILABLE and (zone.name in restarted or not zone.is_unresponsive):
                 self._begin_recovery(now_ms, zone, "discovery lists servers of it again")
         self._forget_empty_zones(now_ms)
-        self._levels = self._stated.levels_of(self._home, tuple(sorted(self.zones)))
+        self._levels = self._locality_settings.levels_of(self._home, tuple(sorted(self.zones)))
 
     def _drop_unlisted(self, entries: dict[str, ListedEndpoint]) -> None:
         for zone in self.zones.values():
-            unlisted = [n for n in zone.endpoints if n not in entries or entries[n].zone != zone.name]
+            unlisted = [
+                endpoint_name
+                for endpoint_name in zone.endpoints
+                if endpoint_name not in entries or entries[endpoint_name].zone != zone.name
+            ]
             for name in unlisted:
                 del zone.endpoints[name]
             zone.congestion.retain(set(zone.endpoints))
 
     def _update_endpoints(self, now_ms: float, endpoints: Sequence[ListedEndpoint]) -> set[str]:
-        """Take in the entries; returns the zones in which a process has started since their last move."""
+        """Update endpoints; return the zones in which a process has started since their last state change."""
         restarted: set[str] = set()
         for entry in endpoints:
             zone = self.zones.get(entry.zone) or self._new_zone(now_ms, entry.zone)
@@ -99,7 +104,7 @@
                 known.listed = entry
                 continue
             zone.endpoints[entry.name] = ZoneEndpoint(entry)
-            # A process that started since is not the one that stopped answering.
+            # A process that started later is not one of those that stopped answering.
             if (entry.started_ms or float("-inf")) > zone.since_ms:
                 restarted.add(zone.name)
         return restarted
@@ -110,9 +115,12 @@
         return zone
 
     def _forget_empty_zones(self, now_ms: float) -> None:
-        """Remember the capacity of zones over their loss, but not for ever, nor of ever more zones."""
-        empty = sorted((z for z in self.zones.values() if not z.endpoints), key=lambda z: z.since_ms)
-        oldest_ms = now_ms - 1000.0 * self._stated.memory_s
+        """Drop zones that have been without endpoints for long, and the oldest of too many such zones."""
+        empty = sorted(
+            (empty_zone for empty_zone in self.zones.values() if not empty_zone.endpoints),
+            key=lambda empty_zone: empty_zone.since_ms,
+        )
+        oldest_ms = now_ms - 1000.0 * self._locality_settings.memory_s
         for number, zone in enumerate(empty):
             if zone.since_ms < oldest_ms or len(empty) - number > MAX_EMPTY_ZONES:
                 del self.zones[zone.name]
@@ -142,7 +150,7 @@
         took_ms: float = 0.0,
         cls: RequestClass | None = None,
     ) -> None:
-        """Update congestion, capacity and state of the zone by an attempt."""
+        """Update congestion, capacity and state of the zone by the end of an attempt."""
         zone = self.zones.get(endpoint.zone)
         known = zone.endpoints.get(endpoint.name) if zone is not None else None
         if zone is None or known is None or outcome in NO_EVIDENCE:
@@ -168,20 +176,21 @@
         zone.consecutive_unanswered += 1
         endpoint.consecutive_unanswered += 1
         none_healthy = all(not known.is_healthy for known in zone.endpoints.values() if known.is_ready)
-        needed = self._stated.unavailable_after * (1 if none_healthy else ANSWERING_OUTAGE_FACTOR)
+        needed = self._locality_settings.unavailable_after * (1 if none_healthy else ANSWERING_OUTAGE_FACTOR)
         if zone.state is not ZoneState.UNAVAILABLE and zone.consecutive_unanswered >= needed:
             reason = f"unanswered {zone.consecutive_unanswered} times in a row"
             self._mark_unavailable(now_ms, zone, reason)
             zone.is_unresponsive = True
 
-    # States
+    # States. The log lines, with the reasons in them, are also messages to the simulator, so their texts are
+    # fixed. In them a zone is a "hall", an unavailable one is "dark", and a probe of it is a "scout".
 
     def _mark_unavailable(self, now_ms: float, zone: Zone, reason: str) -> None:
         zone.is_unresponsive = False
         capacity_per_s = self.capacity_per_s(now_ms, zone)
         zone.remembered_capacity_per_s = max(zone.remembered_capacity_per_s, capacity_per_s)
         zone.move_to(ZoneState.UNAVAILABLE, now_ms, reason)
-        since_ms = now_ms - 1000.0 * self._stated.memory_s
+        since_ms = now_ms - 1000.0 * self._locality_settings.memory_s
         zone.outages_ms = [at_ms for at_ms in zone.outages_ms if at_ms > since_ms] + [now_ms]
         self._log_lines.append(f"hall {zone.name} is dark: {reason}")
 
@@ -193,32 +202,32 @@
     # Limits
 
     def capacity_per_s(self, now_ms: float, zone: Zone) -> float:
-        """Requests a second that the whole zone can serve, as far as can be told from here."""
+        """Return the estimated capacity of a whole zone, in requests a second."""
         return self._estimator.capacity_per_s(now_ms, zone, self.zones)
 
     def spillover_limit_per_s(self, now_ms: float, zone: Zone) -> float:
-        """What this instance may send into a zone that is not its own, by the second."""
+        """Return the requests a second that this instance may send to a zone that is not its own."""
         return self._spillover.limit_per_s(now_ms, zone, self.zones)
 
     def recovery_limit_per_s(self, now_ms: float, zone: Zone) -> float:
-        """What this instance may send into a zone that recovers, by the second."""
+        """Return the requests a second that this instance may send to a zone that recovers."""
         return self._ramp.limit_per_s(now_ms, zone, self.zones)
 
     def is_congested(self, now_ms: float, zone: Zone) -> bool:
-        """Whether a zone has no capacity left, so that it comes last and limits on it hold."""
-        return zone.congestion.latency_inflation(now_ms) > self._stated.congested_inflation
+        """Return whether a zone has no capacity left, so that it comes last and limits on it hold."""
+        return zone.congestion.latency_inflation(now_ms) > self._locality_settings.congested_inflation
 
-    # Questions of the balancer
+    # Decisions
 
     def panics(self) -> bool:
-        """Whether so little of the fleet is healthy that all of it is used."""
+        """Return whether the healthy share is below the panic threshold, so that all zones are used."""
         ready = sum(zone.ready_weight() for zone in self.zones.values())
         available = [zone for zone in self.zones.values() if zone.state is not ZoneState.UNAVAILABLE]
         healthy = sum(zone.healthy_weight() for zone in available)
-        return healthy < self._stated.panic_threshold * ready or not healthy
+        return healthy < self._locality_settings.panic_threshold * ready or not healthy
 
     def zone_order(self, now_ms: float, context: PickContext) -> Sequence[str]:
-        """Zones by priority level; last come degraded zones and those where the request has failed."""
+        """Return zones by priority level; degraded zones and those where the request has failed come last."""
         zones = self.zones
         if self.panics():
             return [name for level in self._levels for name in level if name in zones]
@@ -230,20 +239,20 @@
         ]
         ranked = [name for name in ranked if zones[name].state is not ZoneState.UNAVAILABLE]
         least_loss = min((zones[name].loss_share for name in ranked), default=0.0)
-        # A request that is not idempotent has one attempt. From the first sign on it goes where answers come,
-        # while requests that may be retried find out.
+        # A request that is not idempotent has one attempt. After a few unanswered attempts in a zone it goes
+        # to other zones, while requests that may be retried show whether the zone still answers.
         is_careful = self._has_single_attempt(context) and self._has_idempotent_class
 
         def demotion(name: str) -> tuple[bool, bool, bool]:
             zone = zones[name]
-            is_degraded = zone.loss_share > self._stated.degraded_loss_share + least_loss
-            is_risky = is_degraded or (is_careful and zone.consecutive_unanswered >= EARLY_SIGN)
+            is_degraded = zone.loss_share > self._locality_settings.degraded_loss_share + least_loss
+            is_risky = is_degraded or (is_careful and zone.consecutive_unanswered >= EARLY_UNANSWERED)
             return name in context.failed_zones, is_risky, self.is_congested(now_ms, zone)
 
         return probes + sorted(ranked, key=demotion)
 
     def _by_level(self, now_ms: float) -> list[str]:
-        """Zones by level; in one, those come first that got the least of this instance's spillover lately."""
+        """Return zones by level, and in one level by this instance's recent spillover, the least first."""
         zones = self.zones
         levels = [
             sorted((n for n in level if n in zones), key=lambda n: self._spillover.recent(now_ms, zones[n]))
@@ -259,18 +268,18 @@
         return request_class is not None and request_class.idempotency is Idempotency.NOT_IDEMPOTENT
 
     def _may_probe(self, now_ms: float, name: str, context: PickContext) -> bool:
-        """Whether a request may find out if an unavailable zone answers: one now and then, with retries."""
+        """Return whether a request may probe an unavailable zone: now and then one that may be retried."""
         zone = self.zones[name]
         is_risky = self._has_single_attempt(context) and self._has_idempotent_class
         if is_risky or context.failed_zones or not zone.ready_weight():
             return False
-        return now_ms - zone.probed_ms >= self._stated.probe_interval_ms
+        return now_ms - zone.probed_ms >= self._locality_settings.probe_interval_ms
 
     def admits(self, now_ms: float, zone: str | None, context: PickContext) -> bool:
-        """Whether a zone may take the request now, by its state and within its limits.
+        """Return whether a zone may take the request now, by its state and within its limits.
 
-        Limits pace what a zone gets; where its endpoints are seen to have capacity they hold nobody back for
-        long. A limit would else reject work while endpoints are idle.
+        Limits pace the requests to a zone. While its endpoints are known to have capacity, they hold requests
+        back only for a short time; otherwise a limit would reject work while endpoints are idle.
         """
         known = self.zones.get(zone) if zone is not None else None
         if zone is None or known is None or self.panics():
@@ -289,29 +298,30 @@
 
     @staticmethod
     def _has_waited(context: PickContext) -> bool:
-        """Whether the request has waited so long that to go on would cost its answer."""
+        """Return whether the request has waited so long that waiting longer would make its answer late."""
         request_class = context.request_class
         return (
-            request_class is not None and context.waited_ms >= PATIENCE * request_class.latency_objective_ms
+            request_class is not None
+            and context.waited_ms >= LIMIT_WAIT_SHARE * request_class.latency_objective_ms
         )
 
     def _is_within(self, limit: RateLimit, now_ms: float, per_s: float, context: PickContext) -> bool:
-        """Whether a limit lets the request through; classes of less weight leave some of it to others."""
+        """Return whether a limit allows the request; classes below the highest priority leave a reserve."""
         tokens = limit.tokens(now_ms, per_s)
         weight = context.request_class.priority_weight if context.request_class is not None else 0.0
         burst = limit.burst(per_s)
         leaves_reserve = weight < self._max_priority_weight and burst > 2
-        return tokens >= 1.0 + (self._stated.reserved_share * burst if leaves_reserve else 0.0)
+        return tokens >= 1.0 + (self._locality_settings.reserved_share * burst if leaves_reserve else 0.0)
 
-    # For others to read
+    # State for logs and views
 
     def take_log_lines(self) -> Sequence[str]:
-        """The moves of zones since the last call."""
+        """Return a line for each state change of a zone since the last call."""
         lines, self._log_lines = self._log_lines, []
         return lines
 
     def view(self, now_ms: float) -> list[ZoneView]:
-        """The state of each zone."""
+        """Return the state of each zone."""
         return [self._view_of(now_ms, zone) for zone in self.zones.values()]
 
     def _view_of(self, now_ms: float, zone: Zone) -> ZoneView:
--- a/client_proxy/routing/locality/zone_state.py
+++ b/client_proxy/routing/locality/zone_state.py
@@ -1,4 +1,4 @@
-"""The states of a zone and the moves between them, and what one instance knows of a zone."""
+"""The states of a zone, the transitions between them, and what one instance knows of a zone."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from client_proxy.routing.locality.peak_rate import PeakRate
 from client_proxy.routing.locality.rate_limit import RateLimit
 
-MAX_CONSECUTIVE_UNANSWERED = 2  # an endpoint with as many attempts unanswered in a row is not healthy
+MAX_CONSECUTIVE_UNANSWERED = 2  # consecutive unanswered attempts from which on an endpoint is not healthy
 
 
 class RoutingError(Exception):
@@ -19,11 +19,11 @@
 
 
 class IllegalTransitionError(RoutingError):
-    """A zone was to move to a state that its state does not lead to."""
+    """A zone was to enter a state to which its current state has no transition."""
 
 
 class ZoneState(Enum):
-    """Whether a zone gets requests. The values are those of the control answers."""
+    """Whether a zone gets requests. The values are those in answers of the control socket."""
 
     UP = "up"
     UNAVAILABLE = "dark"
@@ -39,27 +39,27 @@
 
 @dataclass(slots=True)
 class ZoneEndpoint:
-    """An endpoint, as far as its zone's capacity and state depend on it."""
+    """What is known of one endpoint for the capacity and the state of its zone."""
 
     listed: ListedEndpoint
-    peak_concurrency: float = 0.0  # the most that it ran at once while it answered in time, decaying
+    peak_concurrency: float = 0.0  # most requests executed at once while it answered in time; decays
     service_time_ms: float = 0.0  # smoothed
-    measured_ms: float = 0.0
+    measured_ms: float = 0.0  # when the last load report was measured
     consecutive_unanswered: int = 0
 
     @property
     def throughput_per_s(self) -> float:
-        """What it can serve, whoever sends it, by Little's law; 0: not known."""
+        """Capacity in requests a second from all instances, by Little's law; 0: not known."""
         return 1000.0 * self.peak_concurrency / self.service_time_ms if self.service_time_ms else 0.0
 
     @property
     def is_ready(self) -> bool:
-        """Whether it is listed as ready."""
+        """Whether the endpoint is listed as ready."""
         return self.listed.state is EndpointState.READY
 
     @property
     def is_healthy(self) -> bool:
-        """Whether it is ready, has a weight, and answers."""
+        """Whether the endpoint is ready, has a weight above 0, and answers."""
         return (
             self.is_ready
             and self.listed.weight > 0
@@ -74,52 +74,53 @@
     name: str
     congestion: CongestionEstimate
     state: ZoneState = ZoneState.UP
-    since_ms: float = 0.0
+    since_ms: float = 0.0  # when it entered its state
     reason: str = "at the start"
     endpoints: dict[str, ZoneEndpoint] = field(default_factory=dict)
-    own_rate: PeakRate = field(default_factory=PeakRate)  # what this instance had served in time there
+    # Rate at which the zone served this instance in time.
+    own_rate: PeakRate = field(default_factory=PeakRate)
     spillover_limit: RateLimit = field(default_factory=lambda: RateLimit(1.0))
     recovery_limit: RateLimit = field(default_factory=RateLimit)
     consecutive_unanswered: int = 0  # over all of its endpoints
-    is_unresponsive: bool = False  # it is unavailable for want of answers, not of endpoints
+    is_unresponsive: bool = False  # it is unavailable because it doesn't answer, not for lack of endpoints
     loss_share: float = 0.0  # smoothed share of attempts without an answer
-    ramp_share: float = 1.0  # of its capacity that it gets while it recovers
-    ramp_ms: float = 0.0  # when the ramp share was computed
-    ramp_held_until_ms: float = 0.0  # the ramp share does not grow before
-    slowness: float = 1.0  # smoothed, while it recovers
-    probed_ms: float = float("-inf")
-    outages_ms: list[float] = field(default_factory=list)  # when it became unavailable, lately
-    spillover_count: int = 0  # requests of other zones that it took from here,
-    recent_spillover: float = 0.0  # and lately, relative to its weight
-    spillover_ms: float = 0.0
-    remembered_capacity_per_s: float = 0.0  # of the whole zone, while it is unavailable
+    ramp_share: float = 1.0  # share of its capacity that it gets while it recovers
+    ramp_ms: float = 0.0  # when the ramp share was last computed
+    ramp_held_until_ms: float = 0.0  # the ramp share doesn't grow before this time
+    slowness: float = 1.0  # smoothed slowness of answers while it recovers
+    probed_ms: float = float("-inf")  # when the last probe was sent
+    outages_ms: list[float] = field(default_factory=list)  # recent times at which it became unavailable
+    spillover_count: int = 0  # requests that this instance has sent to it as spillover
+    recent_spillover: float = 0.0  # recent spillover relative to its weight, as of `spillover_ms`
+    spillover_ms: float = 0.0  # when the last spillover was sent
+    remembered_capacity_per_s: float = 0.0  # of the whole zone, from before an outage
 
     def move_to(self, state: ZoneState, now_ms: float, reason: str) -> None:
         """Enter a state.
 
         Raises:
-            IllegalTransitionError: the present state does not lead to it.
+            IllegalTransitionError: there is no transition from the current state.
         """
         if state not in TRANSITIONS[self.state]:
-            raise IllegalTransitionError(f"zone {self.name!r}: no move from {self.state} to {state}")
+            raise IllegalTransitionError(f"zone {self.name!r}: no transition from {self.state} to {state}")
         self.state, self.since_ms, self.reason = state, now_ms, reason
 
     def ready_weight(self) -> float:
-        """The listed weight of its ready endpoints."""
+        """Return the sum of the listed weights of the ready endpoints."""
         return sum(endpoint.listed.weight for endpoint in self.endpoints.values() if endpoint.is_ready)
 
     def healthy_weight(self) -> float:
-        """The listed weight of its healthy endpoints."""
+        """Return the sum of the listed weights of the healthy endpoints."""
         return sum(endpoint.listed.weight for endpoint in self.endpoints.values() if endpoint.is_healthy)
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneView:
-    """A zone's state for others to read."""
+    """A read-only view of a zone's state."""
 
     name: str
     state: ZoneState
-    is_spilling_over: bool  # the instance's own zone sends to others
+    is_spilling_over: bool  # it is the own zone, and requests left it lately
     since_ms: float
     reason: str
     ramp_share: float
--- a/tests/routing/test_connected.py
+++ b/tests/routing/test_connected.py
@@ -1,4 +1,4 @@
-"""Lists longer than the connections that a proxy may hold: the decisions, with a model of the transport."""
+"""Lists longer than the connections that a proxy may hold, with a model of the transport."""
 
 from __future__ import annotations
 
@@ -23,27 +23,27 @@
 from client_proxy.api.settings import Settings
 from client_proxy.balancer.balancer import Balancer
 from client_proxy.routing import connected
-from client_proxy.routing.connected import KEPT_PART
+from client_proxy.routing.connected import KEPT_SHARE
 from client_proxy.warm_state.in_flight_handover import InFlightHandover
 from tests.driver import SAFE, SETTINGS, Driver, endpoint, full
 
 ALONE = replace(SETTINGS, proxies=1)
 
 
-def holding(connections: int | None, stated: Settings = ALONE) -> Settings:
-    return replace(stated, limits=replace(stated.limits, connections=connections))
+def with_connections(connections: int | None, settings: Settings = ALONE) -> Settings:
+    return replace(settings, limits=replace(settings.limits, connections=connections))
 
 
-def listed(count: int) -> list[ListedEndpoint]:
+def list_servers(count: int) -> list[ListedEndpoint]:
     return [endpoint(f"s{n:03d}", zone=f"z{n % 20}", cell=n % 7) for n in range(count)]
 
 
 class Transport:
-    """Connections as the proxy's transport keeps them: at the bound the one idle longest makes room."""
+    """Connections as the proxy's transport keeps them: at the limit the one idle longest is closed."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self.open: dict[str, None] = {}  # one to a server; the latest used last
+    def __init__(self, max_connections: int) -> None:
+        self._max_connections = max_connections
+        self.open: dict[str, None] = {}  # one connection for each server; the latest used last
         self.dials = 0
 
     def use(self, name: str) -> None:
@@ -51,19 +51,21 @@
             del self.open[name]
         else:
             self.dials += 1
-            while len(self.open) >= self._most:
+            while len(self.open) >= self._max_connections:
                 del self.open[next(iter(self.open))]
         self.open[name] = None
 
 
-class Calls:
-    """One call after the other to a balancer, each served unless its server is down."""
+class RequestRunner:
+    """Sends requests one by one through a balancer; each is answered unless its server is down."""
 
-    def __init__(self, stated: Settings, servers: list[ListedEndpoint], most: int, seed: int = 1) -> None:
-        self.balancer = Balancer(stated, seed)
-        self.transport = Transport(most)
+    def __init__(
+        self, settings: Settings, servers: list[ListedEndpoint], max_connections: int, seed: int = 1
+    ) -> None:
+        self.balancer = Balancer(settings, seed)
+        self.transport = Transport(max_connections)
         self.down: set[str] = set()
-        self.went: Counter[str] = Counter()
+        self.sent_counts: Counter[str] = Counter()
         self._number = 0
         self._random = Random(seed)
         self.balancer.handle(0.0, [full(*servers)])
@@ -71,8 +73,8 @@
     def tell(self, event: Event) -> list[Action]:
         return self.balancer.handle(self.balancer.now_ms, [event])
 
-    def call(self, class_name: str = "safe") -> str:
-        """The server that got its first attempt; "" if none did."""
+    def send_request(self, class_name: str = "safe") -> str:
+        """Send a request; return the server that got its first attempt, or "" if none did."""
         self._number += 1
         now_ms = self.balancer.now_ms + 4.0
         actions = self.balancer.handle(now_ms, [RequestArrived(self._number, class_name)])
@@ -81,7 +83,7 @@
             return ""
         name = sends[0].endpoint
         self.transport.use(name)
-        self.went[name] += 1
+        self.sent_counts[name] += 1
         took_ms = min(3.9, self._random.lognormvariate(0.0, 0.5))
         if name in self.down:
             self.transport.open.pop(name)
@@ -92,25 +94,25 @@
         return name
 
 
-def dials_a_call(stated: Settings, count: int, most: int) -> float:
-    calls = Calls(stated, listed(count), most)
+def dials_per_request(settings: Settings, count: int, max_connections: int) -> float:
+    runner = RequestRunner(settings, list_servers(count), max_connections)
     for _ in range(4 * count):
-        calls.call()
-    before = calls.transport.dials
+        runner.send_request()
+    before = runner.transport.dials
     for _ in range(2000):
-        assert calls.call()
-    return (calls.transport.dials - before) / 2000
+        assert runner.send_request()
+    return (runner.transport.dials - before) / 2000
 
 
-def test_calls_seldom_dial_however_long_the_list_is() -> None:
+def test_requests_rarely_dial_however_long_the_list_is() -> None:
     for count in (120, 680):
-        assert dials_a_call(holding(None), count, 60) > 0.4  # as it was
-        assert dials_a_call(holding(60), count, 60) < 0.01
+        assert dials_per_request(with_connections(None), count, 60) > 0.4  # without the limit being known
+        assert dials_per_request(with_connections(60), count, 60) < 0.01
 
 
-def actions_of(stated: Settings, count: int) -> Iterator[list[Action]]:
-    balancer, random = Balancer(stated, 7), Random(3)
-    yield balancer.handle(0.0, [full(*listed(count))])
+def replay_actions(settings: Settings, count: int) -> Iterator[list[Action]]:
+    balancer, random = Balancer(settings, 7), Random(3)
+    yield balancer.handle(0.0, [full(*list_servers(count))])
     for number in range(600):
         now_ms = balancer.now_ms + 3.0
         name = random.choice(["safe", "unsafe", "keyed"])
@@ -122,104 +124,104 @@
 
 @pytest.mark.parametrize(("count", "connections"), [(10, 320), (60, 181), (60, 60), (200, 320), (200, 200)])
 def test_lists_shorter_than_the_connections_are_used_as_before(count: int, connections: int) -> None:
-    before = list(actions_of(holding(None), count))
-    assert list(actions_of(holding(connections), count)) == before
+    before = list(replay_actions(with_connections(None), count))
+    assert list(replay_actions(with_connections(connections), count)) == before
 
 
-def test_every_server_is_met_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connected, "ANYWHERE", 1 / 20)  # ten times as often, so that the test is short
-    calls = Calls(holding(40), listed(100), 40)
+def test_every_server_is_used_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(connected, "ANY_ENDPOINT_SHARE", 1 / 20)  # ten times as often, to keep the test short
+    runner = RequestRunner(with_connections(40), list_servers(100), 40)
     for _ in range(8000):
-        calls.call()
-    assert len(calls.went) == 100
-    assert max(calls.went.values()) < 8 * 8000 / 100
+        runner.send_request()
+    assert len(runner.sent_counts) == 100
+    assert max(runner.sent_counts.values()) < 8 * 8000 / 100
 
 
-def test_proxies_that_state_no_number_load_all_servers() -> None:
-    # Each with the same place on the ring: by parts of the ring they would crowd the same servers.
+def test_proxies_with_the_same_ring_position_load_all_servers() -> None:
+    # All have the same position on the ring: if each used a part of it, they would overload the same servers.
     load: Counter[str] = Counter()
     for seed in range(60):
-        calls = Calls(holding(80), listed(200), 80, seed)
+        runner = RequestRunner(with_connections(80), list_servers(200), 80, seed)
         for _ in range(500):
-            calls.call()
-        load += calls.went
+            runner.send_request()
+        load += runner.sent_counts
     assert len(load) == 200
     assert max(load.values()) < 1.8 * 60 * 500 / 200
     assert min(load.values()) > 0.4 * 60 * 500 / 200
 
 
-def test_a_server_that_comes_or_goes_changes_nothing_else() -> None:
-    servers = listed(200)
-    calls = Calls(holding(80), servers, 80)
+def test_a_change_of_one_server_keeps_the_other_connected_servers() -> None:
+    servers = list_servers(200)
+    runner = RequestRunner(with_connections(80), servers, 80)
     for _ in range(800):
-        calls.call()
-    kept = calls.balancer.connected_endpoints
+        runner.send_request()
+    kept = runner.balancer.connected_endpoints
 
-    def names() -> set[str]:
-        known = calls.balancer.endpoint_set.endpoints
+    def connected_names() -> set[str]:
+        known = runner.balancer.endpoint_set.endpoints
         return {name for name, each in known.items() if each in kept}
 
-    before = names()
-    assert len(before) == int(KEPT_PART * 80)
-    gone = min(before)
-    calls.tell(full(*(each for each in servers if each.name != gone), endpoint("new")))
-    assert names() == before - {gone}
-    drained = min(names())
-    leaving = [
+    before = connected_names()
+    assert len(before) == int(KEPT_SHARE * 80)
+    removed = min(before)
+    runner.tell(full(*(each for each in servers if each.name != removed), endpoint("new")))
+    assert connected_names() == before - {removed}
+    drained = min(connected_names())
+    remaining = [
         replace(each, state=EndpointState.DRAINING) if each.name == drained else each
         for each in servers
-        if each.name != gone
+        if each.name != removed
     ]
-    calls.tell(full(*leaving))
-    assert names() == before - {gone, drained}
+    runner.tell(full(*remaining))
+    assert connected_names() == before - {removed, drained}
 
 
-def test_a_change_of_policy_keeps_to_the_connected_servers() -> None:
-    servers = listed(200)
-    calls = Calls(holding(80), servers, 80)
+def test_a_policy_change_keeps_the_connected_servers() -> None:
+    servers = list_servers(200)
+    runner = RequestRunner(with_connections(80), servers, 80)
     for _ in range(800):
-        calls.call()
-    before = calls.balancer
+        runner.send_request()
+    before = runner.balancer
     kept = [each.listed.name for each in before.connected_endpoints]
     restarted = min(kept)
-    calls.balancer = Balancer(holding(80), 9)
+    runner.balancer = Balancer(with_connections(80), 9)
     changed = [replace(each, started_ms=5.0) if each.name == restarted else each for each in servers]
-    calls.balancer.handle(before.now_ms, [full(*changed)])
-    InFlightHandover(calls.balancer).take_over(before)
-    assert [e.listed.name for e in calls.balancer.connected_endpoints] == [n for n in kept if n != restarted]
-    dials = calls.transport.dials
+    runner.balancer.handle(before.now_ms, [full(*changed)])
+    InFlightHandover(runner.balancer).take_over(before)
+    assert [e.listed.name for e in runner.balancer.connected_endpoints] == [n for n in kept if n != restarted]
+    dials = runner.transport.dials
     for _ in range(300):
-        assert calls.call()
-    assert calls.transport.dials - dials < 10
+        assert runner.send_request()
+    assert runner.transport.dials - dials < 10
 
 
-def test_lost_servers_are_left_at_once_while_others_are_ready() -> None:
-    calls = Calls(holding(40), listed(120), 40)
+def test_failed_servers_are_avoided_at_once_while_others_are_ready() -> None:
+    runner = RequestRunner(with_connections(40), list_servers(120), 40)
     for _ in range(600):
-        calls.call()
-    known = calls.balancer.endpoint_set.endpoints
-    calls.down = {name for name, each in known.items() if each in calls.balancer.connected_endpoints}
-    assert len(calls.down) == int(KEPT_PART * 40)
-    went = [calls.call() for _ in range(400)]
-    assert all(went)
-    assert sum(name in calls.down for name in went[:200]) < 60
-    assert sum(name in calls.down for name in went[200:]) < 10
+        runner.send_request()
+    known = runner.balancer.endpoint_set.endpoints
+    runner.down = {name for name, each in known.items() if each in runner.balancer.connected_endpoints}
+    assert len(runner.down) == int(KEPT_SHARE * 40)
+    targets = [runner.send_request() for _ in range(400)]
+    assert all(targets)
+    assert sum(name in runner.down for name in targets[:200]) < 60
+    assert sum(name in runner.down for name in targets[200:]) < 10
 
 
-def test_cold_servers_get_no_more_than_their_guard_lets_through() -> None:
+def test_cold_servers_get_no_more_than_slow_start_allows() -> None:
     cold = endpoint("cold", started_ms=0.0)
     sent = {}
     for connections in (None, 40):
-        calls = Calls(holding(connections), [*listed(100), cold], 40)
+        runner = RequestRunner(with_connections(connections), [*list_servers(100), cold], 40)
         for _ in range(1500):
-            calls.call()
-        sent[connections] = calls.went["cold"]
+            runner.send_request()
+        sent[connections] = runner.sent_counts["cold"]
     assert sent[40] <= sent[None] + 5
 
 
-def test_keyed_repeats_stay_in_their_group_and_go_elsewhere() -> None:
-    servers = listed(150)
-    driver = Driver(holding(60), servers)
+def test_keyed_retries_go_to_another_server_of_the_same_zone() -> None:
+    servers = list_servers(150)
+    driver = Driver(with_connections(60), servers)
     driver.serve(400, latency_ms=4.0)
     assert driver.balancer.connected_endpoints.connections_are_short
     zone = {each.name: each.zone for each in servers}
@@ -227,12 +229,12 @@
         request, _ = driver.request("keyed")
         driver.end(request, Outcome.ERROR)
         driver.wait(500.0)
-        went = driver.sent[request]
-        if len(went) > 1:
-            assert went[0] != went[1]
-            assert zone[went[0]] == zone[went[1]]
+        targets = driver.sent[request]
+        if len(targets) > 1:
+            assert targets[0] != targets[1]
+            assert zone[targets[0]] == zone[targets[1]]
             driver.end(request, Outcome.OK)
-    assert sum(len(went) > 1 for went in driver.sent.values()) >= 8
+    assert sum(len(targets) > 1 for targets in driver.sent.values()) >= 8
 
 
 STEPS = st.lists(
@@ -246,50 +248,50 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(1, 50), st.integers(34, 90), STEPS, st.integers(0, 5))
-def test_whatever_happens_to_the_list(
+def test_invariants_hold_for_any_list_changes(
     connections: int, count: int, steps: list[tuple[str, int]], seed: int
 ) -> None:
-    servers = {each.name: each for each in listed(count)}
-    calls = Calls(holding(connections), list(servers.values()), connections, seed)
-    most = max(2, int(KEPT_PART * connections))
-    for what, number in steps:
+    servers = {each.name: each for each in list_servers(count)}
+    runner = RequestRunner(with_connections(connections), list(servers.values()), connections, seed)
+    max_kept = max(2, int(KEPT_SHARE * connections))
+    for kind, number in steps:
         name = sorted(servers)[number % len(servers)]
-        state = EndpointState.DRAINING if what == "drain" else EndpointState.READY
-        if what == "call":
+        state = EndpointState.DRAINING if kind == "drain" else EndpointState.READY
+        if kind == "call":
             for _ in range(1 + number % 60):
-                went = calls.call(["safe", "keyed", "unsafe"][number % 3])
+                target = runner.send_request(["safe", "keyed", "unsafe"][number % 3])
                 ready = {n for n, each in servers.items() if each.state is EndpointState.READY}
-                assert not went or went in ready
-                # Never empty while a server is ready that has not failed.
-                assert went or not ready - calls.down
-        elif what == "down":
-            calls.down.add(name)
-        elif what == "up":
-            calls.down.discard(name)
-        elif what in ("drain", "ready"):
+                assert not target or target in ready
+                # The request is sent as long as a ready server has not failed.
+                assert target or not ready - runner.down
+        elif kind == "down":
+            runner.down.add(name)
+        elif kind == "up":
+            runner.down.discard(name)
+        elif kind in ("drain", "ready"):
             servers[name] = replace(servers[name], state=state)
-        elif what == "drop" and len(servers) > 1:
+        elif kind == "drop" and len(servers) > 1:
             del servers[name]
-        elif what == "add":
+        elif kind == "add":
             servers[f"n{number}"] = endpoint(f"n{number}")
-        elif what == "restart":
+        elif kind == "restart":
             servers[name] = replace(servers[name], started_ms=float(number))
-        if what not in ("call", "down", "up"):
-            calls.tell(full(*servers.values()))
-        kept = calls.balancer.connected_endpoints
-        known = calls.balancer.endpoint_set.endpoints
+        if kind not in ("call", "down", "up"):
+            runner.tell(full(*servers.values()))
+        kept = runner.balancer.connected_endpoints
+        known = runner.balancer.endpoint_set.endpoints
         in_use = [n for n, each in known.items() if each in kept]
-        assert len(in_use) == len(kept) <= most  # none that is gone, and no more than stated
+        assert len(in_use) == len(kept) <= max_kept  # no unlisted server, and no more than the limit
         assert all(servers[n].state is EndpointState.READY for n in in_use)
 
 
-def test_a_refusal_comes_only_without_a_ready_server() -> None:
-    calls = Calls(holding(40), listed(100), 40)
+def test_requests_wait_only_while_no_server_is_ready() -> None:
+    runner = RequestRunner(with_connections(40), list_servers(100), 40)
     for _ in range(300):
-        assert calls.call()
-    drained = [replace(each, state=EndpointState.DRAINING) for each in listed(100)]
-    calls.tell(full(*drained))
-    assert calls.call() == ""  # it waits
-    told = calls.tell(full(*drained[1:], listed(1)[0]))
-    assert [each.endpoint for each in told if isinstance(each, Send)] == ["s000"]
-    assert not any(isinstance(each, Reject) for each in calls.tell(RequestArrived(10**6, SAFE.name)))
+        assert runner.send_request()
+    drained = [replace(each, state=EndpointState.DRAINING) for each in list_servers(100)]
+    runner.tell(full(*drained))
+    assert runner.send_request() == ""  # the request is pending
+    actions = runner.tell(full(*drained[1:], list_servers(1)[0]))
+    assert [each.endpoint for each in actions if isinstance(each, Send)] == ["s000"]
+    assert not any(isinstance(each, Reject) for each in runner.tell(RequestArrived(10**6, SAFE.name)))
