--- a/client_proxy/outlier/__init__.py
+++ b/client_proxy/outlier/__init__.py
@@ -1,1 +1,1 @@
-"""Outlier detection: which servers and zones one instance cannot reach, and when they are probed again."""
+"""Outlier detection: which servers and zones one instance ejects, and when it probes them again."""
--- a/client_proxy/outlier/ejection.py
+++ b/client_proxy/outlier/ejection.py
@@ -1,18 +1,18 @@
-"""Which servers and which zones this instance cannot reach, and so ejects for a while.
-
-A zone that is lost or cut off fails every request that goes there: at once where its machines refuse, after
-the connect time-out where they are silent. If servers were judged one by one, each of an instance's servers
-there would have to be met, and met again after each pause, at the cost of a client's request; if they were
-judged by the share of failures everywhere, a third of the fleet that fails would look normal. But servers of
-one zone that do not respond together, while nothing is received from there, have one cause. Then the whole
-zone is ejected, also servers that were never used, and found again by a recovery probe: now and then an
-idempotent request is sent there, and any response restores the zone.
-
-No response means: no connection, or no answer while others usually had theirs long ago; and nothing else from
-the zone since the request was sent. A time-out tells of the moment in which its request was sent; otherwise a
-zone that is back would be ejected for the time-outs of earlier requests. A server that answers, however
-badly, can be reached. A single server is ejected after two failures in a row. When more of the fleet would be
-ejected than the limit, the fault is likelier to be on this side, and nothing is ejected.
+"""Detects servers and zones that this instance can't reach, and ejects them for a while.
+
+A zone that is down or partitioned fails every request that is sent there: at once if its machines refuse
+connections, after the connect timeout if they are silent. If servers were judged one by one, a client's
+request would fail at each server of the zone, and again after each pause. If they were judged by their share
+of failures compared with all others, a third of the fleet that fails would look normal. But when several
+servers of one zone fail to respond, while nothing is received from the zone, they have a common cause. Then
+the whole zone is ejected, including servers that were never used. It is found again by recovery probes: now
+and then an idempotent request is sent there, and any response restores the zone.
+
+No response means no connection, or no answer long after the usual latency, and nothing else received from the
+zone since the request was sent. A timeout counts for the time at which its request was sent; otherwise a zone
+that has recovered would be ejected for the timeouts of earlier requests. A server that answers, even with an
+error, can be reached. A single server is ejected after two consecutive failures. If more of the fleet than
+the limit would be ejected, the fault is more likely on this side, and nothing is ejected.
 """
 
 from __future__ import annotations
@@ -27,18 +27,19 @@
 from client_proxy.api.events import EndpointState, ListedEndpoint, Outcome
 
 RESPONSES = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.UNUSABLE)
-# A response may be lost alone, or be late, so a time-out counts less than a refused connection.
+# A single response may be lost or late, so a timeout weighs less than a refused connection.
 FAILURE_WEIGHT = {Outcome.CONNECT_FAILED: 1.0, Outcome.TIMEOUT: 0.5}
-SERVER_EJECTION_WEIGHT = 2.0  # of a server's own failures, in a row
-ZONE_EJECTION_WEIGHT = 2.5  # of a zone's failures, in a row,
-ZONE_EJECTION_SERVERS = 2  # at this many servers at least
-OVERDUE_FACTOR = 4.0  # times the usual latency, after which an answer is missed before its time-out
-DEFAULT_LATENCY_MS = 1000.0  # until a response was received
-LATENCY_GAIN = 0.05  # about the last twenty responses say what is usual
-ROUNDING_MS = 1.0  # of the times that are passed in
-MEMORY_MS = 4000.0  # an older failure says nothing of a zone now
-JITTER = (0.5, 1.5)  # factors on an interval
-NOT_IDEMPOTENT_INTERVALS = 4.0  # by which a probe is overdue before a request that is not idempotent is used
+SERVER_EJECTION_WEIGHT = 2.0  # sum of consecutive failure weights at which a server is ejected
+ZONE_EJECTION_WEIGHT = 2.5  # sum of consecutive failure weights at which a zone is ejected
+ZONE_EJECTION_SERVERS = 2  # least number of servers at which these failures must have happened
+OVERDUE_FACTOR = 4.0  # multiple of the usual latency after which a missing answer counts, before its timeout
+DEFAULT_LATENCY_MS = 1000.0  # ms; assumed until a response was received
+LATENCY_GAIN = 0.05  # about the last twenty responses determine the usual latency
+ROUNDING_MS = 1.0  # ms; rounding error of the times that are passed in
+FAILURE_MEMORY_MS = 4000.0  # ms; an older failure is ignored
+JITTER = (0.5, 1.5)  # range of the random factor on a probe interval
+# Intervals by which a probe is overdue before a request that is not idempotent is used.
+NOT_IDEMPOTENT_INTERVALS = 4.0
 
 
 @dataclass(slots=True)
@@ -56,26 +57,26 @@
 
 
 class RecoverySchedule:
-    """Creates and reschedules probes, with jitter."""
+    """Schedules recovery probes, with jitter and with doubling intervals."""
 
     def __init__(self, first_interval_ms: float, max_interval_ms: float, seed: int) -> None:
         self._first_interval_ms, self._max_interval_ms = first_interval_ms, max_interval_ms
         self._random = Random(seed)
 
     def create(self, now_ms: float) -> RecoveryProbe:
-        """Return the schedule of what was just ejected."""
+        """Return the schedule of a server or zone that was just ejected."""
         due_ms = now_ms + self._first_interval_ms * self._random.uniform(*JITTER)
         return RecoveryProbe(due_ms, self._first_interval_ms)
 
     def begin(self, now_ms: float, probe: RecoveryProbe) -> None:
-        """Note that a request is sent as a probe."""
+        """Take note that a request is sent as a probe."""
         probe.is_under_way = True
         self._reschedule(now_ms, probe)
 
     def failed(self, now_ms: float, probe: RecoveryProbe) -> None:
         """Double the interval after a probe without a response.
 
-        A request that was under way before the ejection is no probe.
+        The failure of a request that was sent before the ejection changes nothing.
         """
         if probe.is_under_way:
             probe.is_under_way = False
@@ -83,7 +84,7 @@
             self._reschedule(now_ms, probe)
 
     def choose(self, servers: list[str]) -> str:
-        """Draw a server of an ejected zone."""
+        """Pick a random server of an ejected zone."""
         return self._random.choice(servers)
 
     def _reschedule(self, now_ms: float, probe: RecoveryProbe) -> None:
@@ -100,22 +101,23 @@
     failure_weight: float = 0.0
     failed_ms: float = 0.0
     responded_ms: float = -inf
-    outstanding_ms: list[float] = field(default_factory=list)  # when attempts not yet overdue were sent
-    overdue_count: int = 0  # attempts under way that were counted as failures already
-    probe: RecoveryProbe | None = None  # not None: the server is ejected by itself
+    # Send times of attempts in flight that are not overdue.
+    outstanding_ms: list[float] = field(default_factory=list)
+    overdue_count: int = 0  # attempts in flight that already count as failures
+    probe: RecoveryProbe | None = None  # not None: the server is ejected for its own failures
 
 
 @dataclass(slots=True)
 class ZoneState:
-    """What is known of one zone since anything was received from it."""
+    """What is known of one zone since the last response from it."""
 
-    failed_ms: dict[str, float] = field(default_factory=dict)  # by server, its latest failure
+    failed_ms: dict[str, float] = field(default_factory=dict)  # time of the latest failure, by server
     failure_weight: float = 0.0
     responded_ms: float = -inf
     probe: RecoveryProbe | None = None  # not None: the zone is ejected
 
     def forget_failures(self) -> None:
-        """Start anew."""
+        """Drop the counted failures, after a response or a new process."""
         self.failed_ms.clear()
         self.failure_weight = 0.0
 
@@ -127,11 +129,12 @@
 
 
 class OutlierDetector:
-    """The servers and zones of one instance.
+    """Decides which servers and zones one instance ejects, and which server a request is to probe.
 
     Attributes:
-        ejected: the servers that are ejected now; the same set throughout, as others read it.
-        log_lines: lines to log, to be taken by the caller.
+        ejected: names of the ejected servers; the same set object for its life, because others hold it.
+        log_lines: lines to log; the caller removes them. They are also messages to the simulator, so their
+            texts are fixed.
     """
 
     def __init__(
@@ -142,21 +145,22 @@
         self._servers: dict[str, ServerState] = {}
         self._zones: dict[str, ZoneState] = {}
         self._usual_latency_ms = 0.0
-        self._sent: deque[_SentAttempt] = deque()  # no longer back than an answer is waited for
+        # In the order of sending; attempts leave it once they are overdue.
+        self._sent: deque[_SentAttempt] = deque()
         self.ejected: set[str] = set()
         self.log_lines: list[str] = []
 
     def __len__(self) -> int:
         return len(self._servers)
 
-    def inherit(self, before: OutlierDetector) -> None:
-        """Go on with what another detector knows."""
-        self._servers, self._zones, self._sent = before._servers, before._zones, before._sent
-        self._usual_latency_ms = before._usual_latency_ms
-        self.ejected.update(before.ejected)
+    def inherit(self, predecessor: OutlierDetector) -> None:
+        """Continue with the state of the previous policy's detector."""
+        self._servers, self._zones, self._sent = predecessor._servers, predecessor._zones, predecessor._sent
+        self._usual_latency_ms = predecessor._usual_latency_ms
+        self.ejected.update(predecessor.ejected)
 
     def update_endpoints(self, endpoints: Iterable[ListedEndpoint]) -> None:
-        """Take the list of all servers; a new process under a known name is another server."""
+        """Update the list of all servers; a new process under a known name counts as a new server."""
         names = set()
         for endpoint in endpoints:
             names.add(endpoint.name)
@@ -168,14 +172,14 @@
         self._update_ejected()
 
     def attempt_sent(self, now_ms: float, server: str) -> None:
-        """Note that an attempt was sent."""
+        """Take note that an attempt was sent."""
         state = self._servers.get(server)
         if state is not None:
             state.outstanding_ms.append(now_ms)
             self._sent.append(_SentAttempt(now_ms, server))
 
     def attempt_ended(self, now_ms: float, server: str, outcome: Outcome, took_ms: float) -> None:
-        """Take the result of an attempt that was sent `took_ms` ago."""
+        """Record the result of an attempt that was sent `took_ms` ago."""
         state = self._servers.get(server)
         if state is None:
             return
@@ -209,7 +213,7 @@
         state = self._servers[endpoint.name] = ServerState(endpoint.zone, endpoint.started_ms)
         zone = self._zones.setdefault(endpoint.zone, ZoneState())
         if endpoint.started_ms is not None:
-            # Otherwise a zone that is back with new processes would stand empty until the next probe.
+            # Otherwise a zone that is back with new processes would get no requests until the next probe.
             zone.probe = None
             zone.forget_failures()
         return state
@@ -237,12 +241,12 @@
         zone.probe = None
         for other in self._servers.values():
             if other.zone == name and other.probe is not None:
-                # It is restored with its zone, and one more failure ejects it again.
+                # The server is restored with its zone, but one more failure ejects it again.
                 other.failure_weight, other.probe = SERVER_EJECTION_WEIGHT - 1.0, None
 
     def _count_overdue(self, now_ms: float) -> None:
-        """Count answers that are long overdue as failures of their servers now."""
-        # The default also bounds what is kept by an instance that never had a response.
+        """Count attempts whose answer is long overdue as failures, before their timeout."""
+        # The default also bounds the queue of sent attempts of an instance that never had a response.
         overdue_ms = now_ms - OVERDUE_FACTOR * (self._usual_latency_ms or DEFAULT_LATENCY_MS)
         while self._sent and self._sent[0].at_ms <= overdue_ms:
             attempt = self._sent.popleft()
@@ -266,7 +270,7 @@
         self._update_ejected()
 
     def _server_failed(self, now_ms: float, state: ServerState, weight: float) -> None:
-        if now_ms - state.failed_ms > MEMORY_MS and state.probe is None:
+        if now_ms - state.failed_ms > FAILURE_MEMORY_MS and state.probe is None:
             state.failure_weight = 0.0
         state.failure_weight += weight
         state.failed_ms = now_ms
@@ -279,13 +283,13 @@
         if zone.probe is not None:
             self._schedule.failed(now_ms, zone.probe)
             return
-        for old in [old for old, at_ms in zone.failed_ms.items() if at_ms < now_ms - MEMORY_MS]:
+        for old in [old for old, at_ms in zone.failed_ms.items() if at_ms < now_ms - FAILURE_MEMORY_MS]:
             del zone.failed_ms[old]
         if not zone.failed_ms:
             zone.failure_weight = 0.0
         zone.failed_ms[server] = now_ms
         zone.failure_weight += weight
-        # A zone with one server needs no judgement of its own: that server is ejected for its own failures.
+        # A zone with a single server needs no zone ejection: that server is ejected for its own failures.
         if zone.failure_weight >= ZONE_EJECTION_WEIGHT and len(zone.failed_ms) >= ZONE_EJECTION_SERVERS:
             zone.probe = self._schedule.create(now_ms)
             count = len(zone.failed_ms)
@@ -295,7 +299,7 @@
         return [server for server, state in self._servers.items() if state.zone == zone and state.is_ready]
 
     def _update_ejected(self) -> None:
-        """Work out who is ejected; nobody where it would be more than the limit."""
+        """Compute the set of ejected servers; it is empty if it would exceed the limit."""
         self.ejected.clear()
         ready_count = 0
         for server, state in self._servers.items():
@@ -327,10 +331,10 @@
 
 
 def _end_outstanding(state: ServerState, sent_ms: float) -> bool:
-    """Forget an attempt that has ended; true if it was counted as overdue before."""
+    """Remove an attempt that has ended; return whether it already counted as overdue."""
     outstanding = state.outstanding_ms
     if outstanding and (not state.overdue_count or sent_ms >= outstanding[0] - ROUNDING_MS):
-        # The attempt that was sent then, as far as the time is exact.
+        # Remove the attempt sent at that time, within the rounding error.
         del outstanding[max(0, bisect_right(outstanding, sent_ms + ROUNDING_MS) - 1)]
         return False
     was_overdue = state.overdue_count > 0
--- a/client_proxy/outlier/ejection_hook.py
+++ b/client_proxy/outlier/ejection_hook.py
@@ -1,4 +1,4 @@
-"""Outlier ejection as a hook of one balancer."""
+"""Outlier ejection as the hook of one balancer."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
         self.ejected: Set[str] = self.detector.ejected
 
     def inherit_from(self, predecessor: BalancerHook) -> None:
-        """Go on with what the hook of the policy before knows."""
+        """Continue with the detector state of the previous policy's hook."""
         if isinstance(predecessor, EjectionHook):
             self.detector.inherit(predecessor.detector)
 
     def endpoints_listed(self, now_ms: float, endpoints: Sequence[ListedEndpoint]) -> None:
-        """Take the list of all servers."""
+        """Update the detector with the list of all servers."""
         self.detector.update_endpoints(endpoints)
 
     def recovery_probe_target(self, now_ms: float, context: PickContext) -> str:
@@ -43,7 +43,7 @@
         return self.detector.choose_probe(now_ms, is_idempotent)
 
     def attempt_sent(self, now_ms: float, endpoint: ListedEndpoint, context: PickContext) -> None:
-        """Note that an attempt was sent."""
+        """Notify the detector that an attempt was sent."""
         self.detector.attempt_sent(now_ms, endpoint.name)
 
     def attempt_ended(
@@ -57,7 +57,7 @@
         took_ms: float = 0.0,
         cls: RequestClass | None = None,
     ) -> None:
-        """Take the result of an attempt."""
+        """Pass the result of an attempt to the detector."""
         self.detector.attempt_ended(now_ms, endpoint.name, outcome, took_ms)
 
     def take_log_lines(self) -> Sequence[str]:
--- a/client_proxy/outlier/settings.py
+++ b/client_proxy/outlier/settings.py
@@ -1,4 +1,4 @@
-"""The settings of outlier ejection: table `[reach]` of the operators' TOML file (docs/operators/reach.md)."""
+"""The settings of outlier ejection: table `[reach]` of the operators' TOML file."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OutlierSettings:
-    """The table `[reach]`."""
+    """The table `[reach]`; each key is described in docs/operators/reach.md."""
 
-    probe_interval_s: float = 0.5  # key `trial_s`: until the first probe of what was ejected
-    max_probe_interval_s: float = 2.0  # key `longest_trial_s`
-    max_ejected_share: float = 0.8  # key `most_barred`: of the ready servers; beyond it, none is ejected
+    probe_interval_s: float = 0.5  # key `trial_s`: seconds from an ejection to the first recovery probe
+    max_probe_interval_s: float = 2.0  # key `longest_trial_s`: longest interval between probes
+    # Key `most_barred`: share of the ready servers; if more would be ejected, none is.
+    max_ejected_share: float = 0.8
 
 
 def parse_outlier_settings(table: Table) -> OutlierSettings:
--- a/tests/outlier/conftest.py
+++ b/tests/outlier/conftest.py
@@ -10,5 +10,5 @@
 
 @pytest.fixture
 def detector() -> OutlierDetector:
-    """A detector that knows a fleet in three zones, all of it within reach."""
+    """A detector that knows a fleet in three zones and has ejected nothing."""
     return make_detector()
--- a/tests/outlier/detectors.py
+++ b/tests/outlier/detectors.py
@@ -1,4 +1,4 @@
-"""A fleet in three zones, and a detector that knows it."""
+"""Helpers for tests of outlier detection: a fleet in three zones, and a detector that knows it."""
 
 from __future__ import annotations
 
--- a/tests/outlier/test_ejection.py
+++ b/tests/outlier/test_ejection.py
@@ -1,4 +1,4 @@
-"""Which servers and zones are ejected: by the decisions alone."""
+"""Which servers and zones the outlier detector ejects, without a balancer."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 def test_zone_that_responds_is_never_ejected(detector: OutlierDetector) -> None:
-    # A quarter of its answers is lost; its servers answer the rest.
+    # A quarter of the attempts time out; the zone's servers answer the rest.
     for step in range(400):
         is_lost = step % 4 == 0
         detector.attempt_ended(step * 10.0, f"b{step % 6}", Outcome.TIMEOUT if is_lost else Outcome.OK, 0.0)
         assert len(ejected_in(detector, "b")) <= 1
 
 
-def test_time_outs_weigh_half(detector: OutlierDetector) -> None:
+def test_timeouts_weigh_half(detector: OutlierDetector) -> None:
     for number in range(4):
         detector.attempt_ended(100.0 + number, f"b{number}", Outcome.TIMEOUT, 0.0)
     assert not detector.ejected
@@ -106,23 +106,22 @@
     assert not detector.ejected
 
 
-def test_time_outs_of_requests_sent_before_a_response_eject_nothing(detector: OutlierDetector) -> None:
-    """A zone that is back is not ejected for earlier requests."""
+def test_timeouts_of_requests_sent_before_a_response_eject_nothing(detector: OutlierDetector) -> None:
+    """A zone that responds again must not be ejected for earlier requests."""
     detector.attempt_ended(10_000.0, "b5", Outcome.OK, 100.0)
     detector.attempt_ended(10_000.0, "b0", Outcome.OK, 100.0)
     for number in range(5):
         detector.attempt_ended(10_100.0 + number, f"b{number}", Outcome.TIMEOUT, 2000.0)
     for _ in range(3):
-        detector.attempt_ended(
-            10_200.0, "b0", Outcome.CONNECT_FAILED, 250.0
-        )  # dialled before, and it has answered since
+        # Sent before the server's last response.
+        detector.attempt_ended(10_200.0, "b0", Outcome.CONNECT_FAILED, 250.0)
     assert not detector.ejected
     for number in range(5):
         detector.attempt_ended(12_200.0 + number, f"b{number}", Outcome.TIMEOUT, 2000.0)
     assert ejected_in(detector, "b")
 
 
-def test_overdue_responses_count_before_their_time_out(detector: OutlierDetector) -> None:
+def test_overdue_responses_count_before_their_timeout(detector: OutlierDetector) -> None:
     for step in range(20):
         detector.attempt_sent(step * 10.0, "a0")
         detector.attempt_ended(step * 10.0 + 100.0, "a0", Outcome.OK, 100.0)
@@ -132,7 +131,7 @@
     assert not detector.ejected
     detector.choose_probe(1410.0, is_idempotent=True)
     assert ejected_in(detector, "b")
-    for number in range(5):  # their later time-outs count no more
+    for number in range(5):  # their timeouts don't count again
         detector.attempt_ended(3000.0 + number, f"b{number}", Outcome.TIMEOUT, 2000.0)
     assert all(not state.outstanding_ms and not state.overdue_count for state in detector._servers.values())
 
@@ -170,7 +169,7 @@
 
 
 def test_zone_in_which_a_process_starts_is_restored(detector: OutlierDetector) -> None:
-    """A zone that is back with new processes does not stand empty until a probe."""
+    """A zone that is back with new processes gets requests before the next probe."""
     for number in range(3):
         detector.attempt_ended(0.0, f"b{number}", Outcome.CONNECT_FAILED, 0.0)
     new_process = endpoint("b9", zone="b", started_ms=7.0)
@@ -179,7 +178,7 @@
     detector.update_endpoints([*FLEET, new_process])
     for number in range(3):
         detector.attempt_ended(10.0, f"b{number}", Outcome.CONNECT_FAILED, 0.0)
-    detector.update_endpoints([*FLEET, new_process])  # it has been known since
+    detector.update_endpoints([*FLEET, new_process])  # this process is known, so it restores nothing
     assert ejected_in(detector, "b")
 
 
@@ -206,7 +205,7 @@
     ),
     st.floats(0.0, 1.0),
 )
-def test_ejected_are_ready_servers_within_the_limit(
+def test_ejected_servers_are_ready_and_within_the_limit(
     steps: list[tuple[int, Outcome, int, bool]], max_ejected_share: float
 ) -> None:
     detector = make_detector(max_ejected_share=max_ejected_share)
@@ -223,11 +222,11 @@
         assert detector.ejected is ejected
         assert ejected <= ready
         assert len(ejected) <= max_ejected_share * len(ready)
-        probed_ms = detector.choose_probe(now_ms, is_idempotent=True)
-        assert not probed_ms or probed_ms in ejected
+        probed_server = detector.choose_probe(now_ms, is_idempotent=True)
+        assert not probed_server or probed_server in ejected
 
 
-def test_a_zone_with_one_server_is_ejected_with_it_and_comes_back_with_it() -> None:
+def test_zone_with_one_server_is_ejected_and_restored_with_it() -> None:
     fleet = [endpoint("a0", zone="a"), endpoint("b0", zone="b"), endpoint("c0", zone="c")]
     detector = make_detector(fleet)
     for at_ms in (0.0, 10.0):
--- a/tests/outlier/test_ejection_hook.py
+++ b/tests/outlier/test_ejection_hook.py
@@ -1,4 +1,4 @@
-"""Outlier ejection under the balancer, its settings, and its place beside other hooks."""
+"""Outlier ejection under the balancer, its settings, and its use together with other hooks."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from tests.driver import SETTINGS, Driver, endpoint
 
 FLEET = [endpoint(f"{zone}{number}", zone=zone, cell=number % 4) for zone in "abc" for number in range(20)]
-MANY = replace(SETTINGS, proxies=120, report_fields=("inflight", "queue", "latency_ms"))
+BALANCER_SETTINGS = replace(SETTINGS, proxies=120, report_fields=("inflight", "queue", "latency_ms"))
 
 
 def make_driver(outlier_settings: OutlierSettings | None, seed: int = 1, ordinal: int = 0) -> Driver:
-    settings = replace(MANY, ordinal=ordinal)
+    settings = replace(BALANCER_SETTINGS, ordinal=ordinal)
     driver = Driver(settings, (), seed)
     driver.balancer = Balancer(
         settings, seed, Operators(reach=outlier_settings).balancer_hook(settings, seed)
@@ -93,7 +93,7 @@
 
 
 class FixedEjections(BalancerHook):
-    """Ejects one zone, and has one server probed."""
+    """A hook that ejects one zone and names one server to probe."""
 
     def __init__(self, zone: str, probe_target: str = "") -> None:
         self.ejected = {listed.name for listed in FLEET if listed.zone == zone}
@@ -103,10 +103,10 @@
         return self.probe_target
 
 
-def make_driver_with_hook(advisor: BalancerHook, proxies: int) -> Driver:
-    settings = replace(MANY, proxies=proxies)
+def make_driver_with_hook(hook: BalancerHook, proxies: int) -> Driver:
+    settings = replace(BALANCER_SETTINGS, proxies=proxies)
     driver = Driver(settings, ())
-    driver.balancer = Balancer(settings, 1, advisor)
+    driver.balancer = Balancer(settings, 1, hook)
     driver.tell(EndpointsListed(ListKind.FULL, tuple(FLEET)))
     return driver
 
@@ -140,37 +140,39 @@
 
 
 def test_next_servers_on_the_ring_differ_between_instances() -> None:
-    """The instances of a lost zone must not all move on to the same few servers."""
-    uses: Counter[str] = Counter()
-    for ordinal in range(MANY.proxies):
+    """Instances whose servers are in a lost zone must not all choose the same few servers instead."""
+    use_counts: Counter[str] = Counter()
+    for ordinal in range(BALANCER_SETTINGS.proxies):
         driver = make_driver(None, ordinal=ordinal)
         pool = driver.balancer.endpoint_set.local
         for on_ring in pool.ring:
             if on_ring.listed.zone == "b":
                 on_ring.paused_until_ms = 1e9
-        uses.update(used.listed.name for used in pool.endpoints_in_use(1000.0))
+        use_counts.update(used.listed.name for used in pool.endpoints_in_use(1000.0))
     remaining = [listed.name for listed in FLEET if listed.zone != "b"]
-    mean = sum(uses.values()) / len(remaining)
-    assert max(uses.values()) < 3 * mean
-    assert sum(uses[name] > 0 for name in remaining) > 0.9 * len(remaining)
+    mean = sum(use_counts.values()) / len(remaining)
+    assert max(use_counts.values()) < 3 * mean
+    assert sum(use_counts[name] > 0 for name in remaining) > 0.9 * len(remaining)
 
 
 def test_instances_with_little_traffic_warm_up_a_new_server_together() -> None:
-    """Otherwise each waits until it may send a whole request, and nothing is sent for seconds."""
-    early = 0
+    """Otherwise each instance waits until its share is a whole request, and nothing is sent for seconds."""
+    early_count = 0
     for seed in range(60):
-        driver = Driver(replace(MANY, proxies=12), FLEET[:8], seed)
+        driver = Driver(replace(BALANCER_SETTINGS, proxies=12), FLEET[:8], seed)
         driver.serve(40)
         new_server = endpoint("new", started_ms=driver.now_ms)
         driver.tell(EndpointsListed(ListKind.FULL, (*FLEET[:8], new_server)))
         pool, began_ms, before = driver.balancer.endpoint_set.local, driver.now_ms, len(driver.sent)
         warming_up = driver.balancer.endpoint_set.endpoints["new"]
-        # Until one instance alone may send it a request.
-        saved_ms = 50.0 / pool.slow_start_rate(driver.now_ms, warming_up, MANY.safety.slow_start_share)
+        # Time until one instance alone may send a request to it.
+        saved_ms = 50.0 / pool.slow_start_rate(
+            driver.now_ms, warming_up, BALANCER_SETTINGS.safety.slow_start_share
+        )
         while driver.now_ms < began_ms + 0.3 * saved_ms:
             driver.serve(1)
-        early += any(servers[-1] == "new" for servers in list(driver.sent.values())[before:])
-    assert 5 <= early <= 40
+        early_count += any(servers[-1] == "new" for servers in list(driver.sent.values())[before:])
+    assert 5 <= early_count <= 40
 
 
 def test_settings_faults_are_named_with_line_and_key() -> None:
@@ -189,9 +191,9 @@
 
 def test_composite_hook_keeps_ejections() -> None:
     operators = parse_operators("[overload]\n[reach]\n", "f")
-    advisor = operators.balancer_hook(MANY, 1)
-    assert isinstance(advisor, CompositeHook)
-    hook = next(part for part in advisor.hooks if isinstance(part, EjectionHook))
-    assert advisor.ejected is hook.ejected
-    assert advisor.limits_concurrency
+    composite = operators.balancer_hook(BALANCER_SETTINGS, 1)
+    assert isinstance(composite, CompositeHook)
+    hook = next(part for part in composite.hooks if isinstance(part, EjectionHook))
+    assert composite.ejected is hook.ejected
+    assert composite.limits_concurrency
     assert CompositeHook([BalancerHook(), BalancerHook()]).ejected == frozenset()
