--- a/client_proxy/membership/__init__.py
+++ b/client_proxy/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Gossip between instances: who the members are, and what they observed of servers.
+"""Gossip between instances: cluster membership, and exchange of observations of servers.
 
-The modules decide and have no I/O and no clock, times being arguments; but `gossip` and `link` have the event
-loop and the socket, `keys` and `__main__` the key files.
+The protocol modules do no I/O and read no clock; the caller passes the time. Only `gossip` and `link` use the
+event loop and a socket, and only `keys` and `__main__` read and write key files.
 """
--- a/client_proxy/membership/__main__.py
+++ b/client_proxy/membership/__main__.py
@@ -1,9 +1,9 @@
-"""`python -m client_proxy.membership`: keys for gossip. Needs the extra `gossip`.
+"""`python -m client_proxy.membership`: creates keys for gossip. Needs the extra `gossip`.
 
-authority new FILE --number N         an authority's key pair, to be kept away from every instance
-group new FILE --number N             a group key
-issue --authority FILE ...            an instance's own file
-show FILE                             what an instance's file says, without its secrets
+authority new FILE --number N         writes an authority's key pair, which must not be stored on any instance
+group new FILE --number N             writes a group key
+issue --authority FILE ...            writes the key file of one instance
+show FILE                             prints what an instance's key file holds, without its secrets
 """
 
 from __future__ import annotations
@@ -45,10 +45,10 @@
 
 @click.group(help="Keys for gossip between instances: docs/operators/gossip.md.")
 def main() -> None:
-    """Run the command."""
+    """Run the command line."""
 
 
-@main.group(help="Keys that sign instances' certificates.")
+@main.group(help="Authority keys, which sign the certificates of instances.")
 def authority() -> None:
     """Group the commands for authorities."""
 
@@ -66,7 +66,7 @@
     _write(file, f'number = {number}\npublic = "{public_key}"\nprivate = "{private_key}"\n')
 
 
-@main.group(help="Keys that keep strangers out.")
+@main.group(help="Group keys, which authenticate the datagrams of members.")
 def group() -> None:
     """Group the commands for group keys."""
 
@@ -83,20 +83,39 @@
 
 
 @main.command(
-    "issue", help="Write the file of one instance: a new key of its own, and its signed certificate."
+    "issue", help="Write the key file of one instance, with a new private key and a signed certificate."
 )
 @click.option(
-    "--authority", "authorities", type=EXISTING_FILE, multiple=True, required=True, help="First: signs."
+    "--authority",
+    "authorities",
+    type=EXISTING_FILE,
+    multiple=True,
+    required=True,
+    help="Repeatable; the first one signs.",
+)
+@click.option(
+    "--group",
+    "groups",
+    type=EXISTING_FILE,
+    multiple=True,
+    required=True,
+    help="Repeatable; the first one is used for sending.",
+)
+@click.option(
+    "--member", type=click.IntRange(0, MAX_U32), required=True, help="The instance's member number."
+)
+@click.option("--hall", "zone", required=True, help="The zone of the instance, named as in its settings.")
+@click.option(
+    "--epoch",
+    type=click.IntRange(0, MAX_EPOCH),
+    default=1,
+    help="A certificate of a higher epoch replaces it.",
 )
-@click.option("--group", "groups", type=EXISTING_FILE, multiple=True, required=True, help="First: sent with.")
-@click.option("--member", type=click.IntRange(0, MAX_U32), required=True, help="The instance's number.")
-@click.option("--hall", "zone", required=True, help="The zone it runs in, as it is named in its settings.")
-@click.option("--epoch", type=click.IntRange(0, MAX_EPOCH), default=1, help="The higher replaces.")
 @click.option("--out", type=NEW_FILE, required=True)
 def issue_command(
     authorities: tuple[Path, ...], groups: tuple[Path, ...], member: int, zone: str, epoch: int, out: Path
 ) -> None:
-    """Write the file of one instance."""
+    """Write the key file of one instance."""
     try:
         authority_secrets = [_read_secret(path, "private") for path in authorities]
         group_secrets = [_read_secret(path, "secret") for path in groups]
@@ -113,10 +132,10 @@
     _write(out, format_keyring(certificate, zone, own_secret, group_keys, authority_keys))
 
 
-@main.command("show", help="What an instance's FILE holds, without its secrets.")
+@main.command("show", help="Print what an instance's key FILE holds, without its secrets.")
 @click.argument("file", type=EXISTING_FILE)
 def show(file: Path) -> None:
-    """Print what an instance's file holds, without its secrets."""
+    """Print what an instance's key file holds, without its secrets."""
     try:
         keyring = load_keyring(file)
     except TomlError as error:
@@ -145,7 +164,7 @@
     except ValueError:
         secret = b""
     if len(secret) != SECRET_BYTES:
-        raise click.ClickException(f"{path}: not {SECRET_BYTES} bytes in base64")
+        raise click.ClickException(f"{path}: the key is not {SECRET_BYTES} bytes in base64")
     return secret
 
 
@@ -154,7 +173,7 @@
         write_private_file(file, text)
     except OSError as error:
         raise click.ClickException(str(error)) from error
-    click.echo(f"written to {file}, readable by its owner alone")
+    click.echo(f"wrote {file}, which only its owner may read")
 
 
 if __name__ == "__main__":
--- a/client_proxy/membership/anti_entropy.py
+++ b/client_proxy/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: pairs of members compare their tables, and so repair what broadcasts missed."""
+"""Anti-entropy: pairs of members compare their member tables and exchange what broadcasts did not deliver."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
 from client_proxy.membership.messages import MAX_REQUESTED_MEMBERS, BucketSummary, Digest, MemberRequest
 from client_proxy.membership.swim_state import SwimState
 
-RESYNC_MS = 500.0  # until the next comparison, after one that found a difference
-SAMPLED_MEMBERS = 3  # that an instance whose table is full tells of when it is asked to compare
-MAX_COMPARED_BUCKETS = 4  # of a digest that differs
-MAX_INTRODUCED_MEMBERS = 8  # of a bucket that differs
+RESYNC_MS = 500.0  # ms; until the next comparison, after one that found a difference
+SAMPLED_MEMBERS = 3  # members that an instance with a full table introduces in answer to a digest
+MAX_COMPARED_BUCKETS = 4  # buckets that are compared after one digest
+MAX_INTRODUCED_MEMBERS = 8  # members that are introduced after one bucket summary
 
 
 class AntiEntropy:
-    """Compares tables with a random member from time to time, by digests and then by buckets."""
+    """Compares member tables with a random member periodically: first digests, then the differing buckets."""
 
     def __init__(self, state: SwimState, dissemination: Dissemination) -> None:
         self._state, self._dissemination = state, dissemination
 
     def start(self, now_ms: float) -> None:
-        """Start comparing, after a random part of the time between two comparisons."""
+        """Schedule the first comparison, after a random part of the interval between comparisons."""
         state = self._state
         first_ms = min(RESYNC_MS, state.settings.sync_ms) * state.random.uniform(0.5, 1.0)
         state.timers.set(now_ms + first_ms, self._run)
 
     def receive_digest(self, source: Address, digest: Digest) -> None:
-        """Answer a digest by the buckets in which the own table differs."""
+        """Answer a digest with summaries of buckets in which this instance's table differs."""
         state = self._state
         if state.members.overflowed:
-            # The tables cannot be equal. Some members are introduced that the other may have room for.
+            # Members were left out of the full table, so the tables cannot become equal. The sender may have
+            # room for some of this instance's members.
             for member in state.random_members(SAMPLED_MEMBERS):
                 self._dissemination.introduce(SendPriority.ANTI_ENTROPY, source, member.number)
             return
@@ -42,7 +43,7 @@
             state.send(SendPriority.ANTI_ENTROPY, source, [summary])
 
     def receive_bucket_summary(self, source: Address, summary: BucketSummary) -> None:
-        """Ask for the members of a bucket that the other knows better, and introduce the others."""
+        """Request the members of which the sender knows more, and introduce those of which it knows less."""
         state = self._state
         state.table_differs = True
         theirs = dict(summary.entries)
@@ -64,7 +65,7 @@
         for partner in state.random_members(1):
             address = partner.alive.address
             if state.members.overflowed:
-                # Tables differ by design: instead of comparing, each tells the other of a member.
+                # Full tables differ by design: a random member is introduced instead of comparing the tables.
                 for member in state.random_members(1, partner.number):
                     self._dissemination.introduce(SendPriority.ANTI_ENTROPY, address, member.number)
             else:
--- a/client_proxy/membership/budget.py
+++ b/client_proxy/membership/budget.py
@@ -1,7 +1,7 @@
-"""Budgets of what an instance receives and sends, which no other instance can raise.
+"""Rate limits on received datagrams and the queue of datagrams to send.
 
-`SourceRateLimiter` holds a token bucket for each address that sends. `SendQueue` holds what waits to be sent,
-by priority; the byte and datagram budgets are its caller's.
+`SourceRateLimiter` holds a token bucket for each source address. `SendQueue` holds what waits to be sent, by
+priority; its caller applies the limits on datagrams and bytes per second.
 """
 
 from __future__ import annotations
@@ -17,10 +17,11 @@
 
 
 class SourceRateLimiter:
-    """A token bucket for each source; the source that was quiet longest is forgotten when there are too many.
+    """A token bucket for each source, with a bound on the number of sources.
 
-    Anybody can write any source address into a datagram. Therefore the number of buckets has a bound, and a
-    new source may start with a full bucket only because a bucket over all sources stands before this one.
+    When there are too many, the source that has been inactive longest is dropped. Source addresses can be
+    forged, and a new source starts with a full bucket; therefore the caller must first apply a limit over all
+    sources together.
     """
 
     def __init__(self, per_s: float, burst: float, max_sources: int) -> None:
@@ -31,7 +32,7 @@
         return len(self._buckets)
 
     def take(self, now_ms: float, source: Hashable) -> bool:
-        """Take a token of the source's bucket; false if there is none."""
+        """Take a token from the source's bucket; returns false if it has none."""
         bucket = self._buckets.get(source)
         if bucket is None:
             bucket = self._buckets[source] = TokenBucket(self._per_s, self._burst)
@@ -42,19 +43,19 @@
 
 
 class SendPriority(IntEnum):
-    """What is sent first when the budget does not suffice for all."""
+    """The order of sending when the send budget is exhausted; the lowest number is sent first."""
 
-    RESPONSE = 0  # first, since without acks healthy instances look dead
+    RESPONSE = 0  # comes first, since healthy instances without acks would be declared dead
     PROBE = 1
-    BROADCAST = 2  # observations of servers, and who the members are
+    BROADCAST = 2  # records about members and observations of servers
     ANTI_ENTROPY = 3
 
 
 class SendQueue(Generic[T]):
-    """A queue for each priority; over the bound, the oldest item of the lowest priority is dropped."""
+    """A bounded priority queue; when it is full, the oldest item of the lowest priority is dropped."""
 
     def __init__(self, max_items: int) -> None:
-        self._max_items = max_items  # of all priorities together
+        self._max_items = max_items  # over all priorities together
         self._queues: dict[SendPriority, deque[T]] = {priority: deque() for priority in SendPriority}
         self.dropped = 0
 
@@ -66,18 +67,18 @@
         self._queues[priority].append(item)
         if len(self) > self._max_items:
             lowest = next(candidate for candidate in reversed(SendPriority) if self._queues[candidate])
-            self._queues[lowest].popleft()  # the oldest, since it is the most out of date
+            self._queues[lowest].popleft()  # drops the oldest item, which is the most outdated one
             self.dropped += 1
 
     def peek(self) -> T | None:
-        """Return the item that `pop` would take, or None if there is none."""
+        """Return the item that `pop` would return, or None if the queue is empty."""
         for queue in self._queues.values():
             if queue:
                 return queue[0]
         return None
 
     def pop(self) -> T:
-        """Take the oldest item of the highest priority.
+        """Remove and return the oldest item of the highest priority.
 
         Raises:
             IndexError: the queue is empty.
--- a/client_proxy/membership/codec.py
+++ b/client_proxy/membership/codec.py
@@ -1,14 +1,15 @@
-"""The bytes of gossip datagrams: typed records in, bytes out, and back.
+"""Encodes typed records as gossip datagrams and decodes them.
 
 A datagram is at most 256 bytes, which is the platform's limit:
 
     version u8 | group key u8 | sender u32 | incarnation u32 | counter u32 | records ... | MAC, 16 bytes
 
-All numbers are big-endian. The MAC is BLAKE2b with a key (RFC 7693) over everything before it. It proves that
-the sender holds a group key, not who it is: any member could write another's number. Therefore what a member
-says of itself or of servers carries a signature of its own (`messages.py`). No datagram holds a time of day.
+All numbers are big-endian. The MAC is keyed BLAKE2b (RFC 7693) over everything before it. It proves that the
+sender holds a group key, but not its identity: any member could write another's number. Therefore a member
+signs its statements about itself and about servers separately (`messages.py`). No datagram contains a time of
+day.
 
-`decode` returns all records or raises `WireError`; it never returns a part of a datagram.
+`decode` returns all records or raises `WireError`; it never returns part of a datagram.
 """
 
 from __future__ import annotations
@@ -57,7 +58,7 @@
 MAX_DATAGRAM_BYTES = 256
 MAC_BYTES = 16
 _HEADER = struct.Struct(">BBIII")
-MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - _HEADER.size - MAC_BYTES  # for records
+MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - _HEADER.size - MAC_BYTES  # bytes available for the records
 
 _U32 = struct.Struct(">I")
 _PORT = struct.Struct(">H")
@@ -66,7 +67,7 @@
 
 
 class _Reader:
-    """Takes bytes from the front of a datagram's body."""
+    """Reads a datagram's body sequentially."""
 
     def __init__(self, data: bytes) -> None:
         self._data, self._position = data, 0
@@ -78,7 +79,7 @@
     def take(self, size: int) -> bytes:
         taken = self._data[self._position : self._position + size]
         if len(taken) < size:
-            raise WireError("a record is cut short")
+            raise WireError("truncated record")
         self._position += size
         return taken
 
@@ -93,7 +94,7 @@
         return number
 
 
-# Each kind of record: how its body is written and read.
+# Encoding and decoding of each record type's body
 
 
 def _write_nonce(record: Ping | Ack | Nack) -> bytes:
@@ -145,7 +146,7 @@
 def _read_alive(reader: _Reader) -> Alive:
     member, incarnation, boot_id, has_left, port, host = reader.unpack(ALIVE_LAYOUT)
     if has_left > 1:
-        raise WireError(f"a member's left flag is {has_left}, not 0 or 1")
+        raise WireError(f"Alive record: the has_left flag is {has_left}, not 0 or 1")
     signature = reader.take(SIGNATURE_BYTES)
     return Alive(member, incarnation, boot_id, unpack_host(host), port, bool(has_left), signature)
 
@@ -153,10 +154,13 @@
 def _read_report(reader: _Reader) -> ObservationReport:
     observer, incarnation, sequence, count = reader.unpack(REPORT_LAYOUT)
     if count > MAX_OBSERVED_SERVERS:
-        raise WireError(f"{count} servers in one report, {MAX_OBSERVED_SERVERS} at most")
+        raise WireError(f"observation report: {count} servers, at most {MAX_OBSERVED_SERVERS} are allowed")
     observations = tuple(ServerObservation(*reader.unpack(OBSERVATION_LAYOUT)) for _ in range(count))
-    if any(seen.failed + seen.unanswered > seen.attempts or not seen.attempts for seen in observations):
-        raise WireError("more failures than attempts")
+    if any(
+        observation.failed + observation.unanswered > observation.attempts or not observation.attempts
+        for observation in observations
+    ):
+        raise WireError("observation report: no attempts, or more failures than attempts")
     return ObservationReport(observer, incarnation, sequence, observations, reader.take(SIGNATURE_BYTES))
 
 
@@ -167,7 +171,7 @@
 def _read_member_request(reader: _Reader) -> MemberRequest:
     count = reader.u8()
     if count > MAX_REQUESTED_MEMBERS:
-        raise WireError(f"{count} members asked for, {MAX_REQUESTED_MEMBERS} at most")
+        raise WireError(f"member request: {count} members, at most {MAX_REQUESTED_MEMBERS} are allowed")
     return MemberRequest(tuple(reader.u32() for _ in range(count)))
 
 
@@ -187,7 +191,7 @@
 def _read_bucket_summary(reader: _Reader) -> BucketSummary:
     bucket, count = reader.u8(), reader.u8()
     if bucket >= DIGEST_BUCKETS or count > MAX_BUCKET_ENTRIES:
-        raise WireError(f"no such bucket: number {bucket} with {count} members")
+        raise WireError(f"bucket summary: bucket {bucket} with {count} members is out of range")
     pairs = (reader.unpack(_U32_PAIR) for _ in range(count))
     return BucketSummary(bucket, tuple((member, incarnation) for member, incarnation in pairs))
 
@@ -200,7 +204,7 @@
 def _read_address_hints(reader: _Reader) -> AddressHints:
     count = reader.u8()
     if count > MAX_HINTED_ADDRESSES:
-        raise WireError(f"{count} hints, {MAX_HINTED_ADDRESSES} at most")
+        raise WireError(f"address hints: {count} addresses, at most {MAX_HINTED_ADDRESSES} are allowed")
     return AddressHints(
         tuple((unpack_host(reader.take(HOST_BYTES)), reader.unpack(_PORT)[0]) for _ in range(count))
     )
@@ -227,17 +231,17 @@
     _RecordCodec(BucketSummary, _write_bucket_summary, _read_bucket_summary),
     _RecordCodec(AddressHints, _write_address_hints, _read_address_hints),
 )
-"""Their order is the wire format: a record's first byte is its place here, counted from one."""
+"""The order is part of the wire format: a record's first byte is its position here, counted from 1."""
 
 _CODEC_BY_KIND = dict(enumerate(_CODECS, start=1))
 _KIND_BY_TYPE = {codec.record_type: kind for kind, codec in _CODEC_BY_KIND.items()}
 
 
 def pack_record(record: Record) -> bytes:
-    """Return one record's bytes, its kind first.
+    """Return the encoded record, which begins with its kind.
 
     Raises:
-        struct.error: a number is out of its field's range.
+        struct.error: a number is out of the range of its field.
     """
     kind = _KIND_BY_TYPE[type(record)]
     return bytes([kind]) + _CODEC_BY_KIND[kind].write(record)
@@ -247,7 +251,7 @@
     kind = reader.u8()
     codec = _CODEC_BY_KIND.get(kind)
     if codec is None:
-        raise WireError(f"no record of kind {kind}")
+        raise WireError(f"unknown record kind {kind}")
     return codec.read(reader)
 
 
@@ -257,51 +261,51 @@
 
 
 def encode(header: Header, packed_records: Sequence[bytes], key: bytes) -> bytes:
-    """Return a datagram of records that `pack_record` packed.
+    """Return a datagram of records that were encoded by `pack_record`.
 
     Raises:
-        DatagramTooLongError: it would be longer than `MAX_DATAGRAM_BYTES`.
+        DatagramTooLongError: the datagram would be longer than `MAX_DATAGRAM_BYTES`.
     """
     head = _HEADER.pack(VERSION, header.group_key, header.sender, header.incarnation, header.counter)
     data = head + b"".join(packed_records)
     if len(data) + MAC_BYTES > MAX_DATAGRAM_BYTES:
         raise DatagramTooLongError(
-            f"a datagram of {len(data) + MAC_BYTES} bytes, {MAX_DATAGRAM_BYTES} at most"
+            f"the datagram is {len(data) + MAC_BYTES} bytes long, at most {MAX_DATAGRAM_BYTES} are allowed"
         )
     return data + compute_mac(key, data)
 
 
 def parse_header(data: bytes) -> Header:
-    """Return what a datagram says of itself, before any costly check.
+    """Return the header of a datagram without checking its MAC.
 
     Raises:
-        WireError: the length or the version is not this protocol's.
+        WireError: the datagram's length or protocol version is not allowed.
     """
     if not _HEADER.size + MAC_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
-        raise WireError(f"a datagram of {len(data)} bytes")
+        raise WireError(f"invalid datagram length of {len(data)} bytes")
     version, group_key, sender, incarnation, counter = _HEADER.unpack_from(data)
     if version != VERSION:
-        raise WireError(f"version {version}, not {VERSION}")
+        raise WireError(f"unsupported protocol version {version}, expected {VERSION}")
     return Header(group_key, sender, incarnation, counter)
 
 
 def decode(data: bytes, group_keys: Mapping[int, bytes]) -> Datagram:
-    """Check and parse a datagram.
+    """Check a datagram's MAC and parse its records.
 
     Args:
         data: the datagram.
-        group_keys: all group keys that are valid now, by their numbers.
+        group_keys: the currently valid group keys, by number.
 
     Raises:
-        WireError: it is not a whole, valid datagram under one of the keys.
+        WireError: the datagram is malformed, or no valid group key authenticates it.
     """
     header = parse_header(data)
     key = group_keys.get(header.group_key)
     if key is None:
-        raise WireError(f"group key {header.group_key} is not valid here")
+        raise WireError(f"group key {header.group_key} is not known")
     body, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
     if not hmac.compare_digest(compute_mac(key, body), mac):
-        raise WireError("the MAC does not fit")
+        raise WireError("the MAC is wrong")
     reader = _Reader(body[_HEADER.size :])
     records = []
     while reader.has_more:
--- a/client_proxy/membership/dissemination.py
+++ b/client_proxy/membership/dissemination.py
@@ -1,8 +1,8 @@
-"""Who the members are and where: certificates and signed records, received, checked and passed on.
+"""Receives, verifies and forwards members' certificates and signed `Alive` records.
 
-Only a member itself can say that it is alive or has left. A restarted member needs no disk and no clock: it
-begins at incarnation 1, whoever knows a higher one sends it its own signed record back, and it goes one
-above.
+Only a member itself can state that it is alive or has left. A restarted member needs no disk and no clock: it
+starts at incarnation 1, a member that knows a higher incarnation sends it the signed record of that
+incarnation, and it continues with the next higher one.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 from client_proxy.membership.swim_state import SwimState
 from client_proxy.token_bucket import TokenBucket
 
-MIN_REFUTE_INTERVAL_MS = 500.0
+MIN_REFUTE_INTERVAL_MS = 500.0  # ms; at least this long between two refutations
 
 
 class Dissemination:
-    """Keeps the member table by what members say of themselves, and introduces members to each other."""
+    """Updates the member table from signed records, and introduces members to each other."""
 
     def __init__(self, state: SwimState, joining: Joining, probe_order: ProbeOrder) -> None:
         self._state, self._joining, self._probe_order = state, joining, probe_order
@@ -40,11 +40,11 @@
         self._refuted_ms = float("-inf")
 
     def may_verify_signature(self, now_ms: float) -> bool:
-        """Take budget for one signature to be checked; false if there is none."""
+        """Take a token from the signature verification budget; returns false if it is exhausted."""
         return self._verifications.take(now_ms)
 
     def receive_certificate(self, now_ms: float, certificate: Certificate) -> None:
-        """Keep a certificate that is newer and that a valid authority signed."""
+        """Store a certificate if it is newer than the known one and signed by a valid authority."""
         state = self._state
         known = state.certificates.get(certificate.member)
         is_old = known is not None and certificate.epoch <= known.epoch
@@ -57,7 +57,7 @@
                 member.certificate = certificate
 
     def receive_alive(self, now_ms: float, source: Address, alive: Alive) -> None:
-        """Take what a member says of itself, which any other may have passed on."""
+        """Process a member's own signed record, received from that member or forwarded by another."""
         state = self._state
         if alive.member == state.own.number:
             self._receive_own_record(now_ms, alive)
@@ -65,7 +65,8 @@
         member = state.members.get(alive.member)
         if member is not None and alive.incarnation <= member.alive.incarnation:
             if alive != member.alive and state.introductions.take(now_ms, source):
-                # It restarted, or somebody replays an old record: the member itself can say which.
+                # The member restarted or an old record is replayed. A restarted member answers this record
+                # with a higher incarnation.
                 state.send(SendPriority.BROADCAST, alive.address, [member.alive])
             return
         certificate = state.certificates.get(alive.member)
@@ -78,24 +79,24 @@
         elif not alive.has_left:
             self._add_member(now_ms, source, certificate, alive)
 
-    def refute(self, now_ms: float, above: int) -> None:
-        """Raise this instance's incarnation above one that others know.
+    def refute(self, now_ms: float, known_incarnation: int) -> None:
+        """Raise this instance's incarnation above `known_incarnation`, which others know.
 
-        At most twice a second: without end of accusations this instance would sign, and all others pass on,
-        without end.
+        It is raised at most twice a second. Otherwise repeated accusations would make this instance sign, and
+        all others forward, an unlimited number of records.
         """
         state, own = self._state, self._state.own
-        if now_ms - self._refuted_ms < MIN_REFUTE_INTERVAL_MS or above >= MAX_U32:
+        if now_ms - self._refuted_ms < MIN_REFUTE_INTERVAL_MS or known_incarnation >= MAX_U32:
             return
         self._refuted_ms = now_ms
-        own.incarnation = max(own.incarnation, above) + 1
+        own.incarnation = max(own.incarnation, known_incarnation) + 1
         own.sign()
         state.broadcasts.put(Topic(Alive, own.number), own.alive)
-        if above > 1 or not state.members.present():
+        if known_incarnation > 1 or not state.members.present():
             self._joining.contact_seed()
 
     def introduce(self, priority: SendPriority, destination: Address, number: int) -> None:
-        """Tell somebody who a member is and where it can be reached."""
+        """Send a member's certificate and, if it is in the table, its address to another instance."""
         state = self._state
         if number == state.own.number:
             state.send(priority, destination, state.own.introduction())
@@ -106,15 +107,17 @@
         elif certificate is not None:
             state.send(priority, destination, [certificate])
 
-    def answer_stranger(self, now_ms: float, source: Address, sender: int, records: Sequence[Record]) -> None:
-        """Answer a sender that is not in the table, or whose address is not the one that it signed for."""
+    def answer_unknown_sender(
+        self, now_ms: float, source: Address, sender: int, records: Sequence[Record]
+    ) -> None:
+        """Answer a sender that is not in the table, or whose source address is not the one that it signed."""
         state = self._state
         if not state.introductions.take(now_ms, source):
             return
         introduction = state.own.introduction()
-        has_no_room = state.members.overflowed and state.members.get(sender) is None
-        if state.certificates.get(sender) is not None and has_no_room:
-            # It may have room for this instance all the same, so its pings are answered.
+        is_not_kept = state.members.overflowed and state.members.get(sender) is None
+        if state.certificates.get(sender) is not None and is_not_kept:
+            # The sender may still have room for this instance in its table, so its pings are answered.
             acks: list[Record] = [Ack(record.nonce) for record in records if isinstance(record, Ping)]
             if acks:
                 state.send(SendPriority.RESPONSE, source, [*acks, *introduction])
@@ -123,10 +126,10 @@
             state.send(SendPriority.BROADCAST, source, [MemberRequest((sender,)), *introduction])
 
     def replace_keys(self, keyring: Keyring) -> None:
-        """Use other keys; members whose authority is retired are no longer known.
+        """Replace the keys, and remove members whose certificate's authority is no longer valid.
 
-        A new certificate of this instance is broadcast, and its record is signed anew under a higher
-        incarnation, as the old signature is not the new key's.
+        If this instance's certificate changed, it is broadcast, and the instance's `Alive` record gets a
+        higher incarnation, since the old record was signed with the old key.
         """
         state, own = self._state, self._state.own
         valid = set(keyring.authority_keys)
@@ -143,7 +146,7 @@
             state.broadcasts.put(Topic(Alive, own.number), own.alive)
 
     def _receive_own_record(self, now_ms: float, alive: Alive) -> None:
-        """Go above a record that this instance signed before it restarted."""
+        """Raise the incarnation above that of a record which this instance signed before it restarted."""
         own = self._state.own
         is_earlier_boot = alive.incarnation == own.incarnation and alive.boot_id != own.boot_id
         if not (alive.incarnation > own.incarnation or is_earlier_boot):
@@ -157,15 +160,15 @@
         state = self._state
         member = Member(certificate, alive, MemberState.ALIVE, now_ms)
         if state.members.add(member) is member:
-            return  # there is no room for it
+            return  # the table is full and the member was not kept
         state.table_differs = True
         if source == alive.address:
-            # Only who received it from the member itself passes it on. All instances of a fleet that starts
-            # would otherwise tell everybody of everybody, and nothing else would get through.
+            # A record is forwarded only by instances that received it from its member itself. Otherwise all
+            # instances of a starting fleet would forward all records and use up the whole send budget.
             state.broadcasts.put(Topic(Certificate, alive.member), certificate)
             state.broadcasts.put(Topic(Alive, alive.member), alive)
         self._probe_order.insert(member.number)
-        state.note_state(member)
+        state.record_state_change(member)
 
     def _update_member(self, now_ms: float, member: Member, alive: Alive) -> None:
         state = self._state
@@ -175,5 +178,5 @@
         member.state_since_ms = now_ms
         state.clear_suspicion(member)
         if member.state is not state_before:
-            state.note_state(member)
+            state.record_state_change(member)
         state.broadcasts.put(Topic(Alive, alive.member), alive)
--- a/client_proxy/membership/errors.py
+++ b/client_proxy/membership/errors.py
@@ -1,15 +1,15 @@
-"""Errors of the membership package, under one base class."""
+"""Exceptions of the membership package."""
 
 from __future__ import annotations
 
 
 class MembershipError(Exception):
-    """Base class of the errors that this package raises itself."""
+    """Base class of the exceptions that this package defines."""
 
 
 class WireError(MembershipError, ValueError):
-    """Bytes that are no valid datagram of this protocol."""
+    """Raised for bytes that are not a valid gossip datagram."""
 
 
 class DatagramTooLongError(MembershipError, ValueError):
-    """Records that do not fit into one datagram."""
+    """Raised for records that don't fit into one datagram."""
--- a/client_proxy/membership/evidence.py
+++ b/client_proxy/membership/evidence.py
@@ -1,8 +1,9 @@
-"""What this instance observed of servers lately: counts of attempts, by server and request class.
+"""This instance's recent observations of servers: attempts and their results, by server and request class.
 
-For each server its last 32 attempts of the last seconds are kept. Attempts that were cancelled, never sent,
-or rejected for want of capacity say nothing about a server's health and are left out; so is what was observed
-while this instance itself was slow or cut off (`health.py`).
+For each server the last 32 attempts are kept, of which those of the last seconds are counted. Attempts that
+were cancelled, never sent, or rejected for lack of capacity are no evidence of a server's health and are
+ignored. The caller also leaves out attempts from times when this instance itself was slow or disconnected
+(`health.py`).
 """
 
 from __future__ import annotations
@@ -21,52 +22,53 @@
 )
 from client_proxy.rates import WorkRate
 
-WINDOW_MS = 5000.0  # older attempts are not reported
-ATTEMPTS_PER_SERVER = 32
-MAX_SERVERS = 1024
+WINDOW_MS = 5000.0  # ms; older attempts are not reported
+ATTEMPTS_PER_SERVER = 32  # attempts kept for each server
+MAX_SERVERS = 1024  # observed servers; over it, the one without attempts for longest is dropped
 FAILED_OUTCOMES = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED)
 COUNTED_OUTCOMES = (Outcome.OK, Outcome.TIMEOUT, *FAILED_OUTCOMES)
-BAD_SHARE = 0.5  # a server that fails more than this share of attempts looks faulty
-MIN_SERVERS_TO_COMPARE = 3  # with fewer observed, nothing can be said of most of them
-SLOW_FACTOR = 2.5  # times the median slowness: worth reporting,
-MIN_SERVED_TO_BE_SLOW = 3  # from so many responses on: one that waited for a new connection is slow anywhere
-SLOWNESS_UNITS = 16.0  # of a reported slowness
-AGE_UNIT_MS = 100.0  # of a reported age
+BAD_SHARE = 0.5  # a server that fails more than this share of its attempts is considered faulty
+MIN_SERVERS_TO_COMPARE = 3  # with fewer observed servers, a majority of faulty ones is not conclusive
+SLOW_FACTOR = 2.5  # times the median slowness; a slower server is reported
+# with fewer responses a server is not reported as slow, since one that waited for a new connection is slow
+MIN_SERVED_TO_BE_SLOW = 3
+SLOWNESS_UNITS = 16.0  # reported slowness is in units of 1/16
+AGE_UNIT_MS = 100.0  # ms; unit of a reported age
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedAttempt:
-    """One attempt that ended."""
+    """The result of one attempt."""
 
     at_ms: float
     class_name: str
     outcome: Outcome
-    slowness: float  # its latency over the unloaded latency of its class
+    slowness: float  # ratio of the latency to the unloaded latency of the request class
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptCounts:
-    """The sum of some attempts at one server."""
+    """Counts of attempts at one server, by result."""
 
     attempts: int = 0
     failed: int = 0
     unanswered: int = 0
-    slowness: float = 0.0  # mean of those served; 0: none was
-    last_ms: float = 0.0
+    slowness: float = 0.0  # mean slowness of the served attempts; 0 if none was served
+    last_ms: float = 0.0  # ms; when the last attempt ended
 
     @property
     def served(self) -> int:
-        """Attempts that were answered."""
+        """The number of attempts that succeeded."""
         return self.attempts - self.failed - self.unanswered
 
     @property
     def failure_share(self) -> float:
-        """The share of attempts that failed or had no answer."""
+        """The share of attempts that failed or got no answer; 0 if there were none."""
         return (self.failed + self.unanswered) / self.attempts if self.attempts else 0.0
 
 
 def count_attempts(attempts: Iterable[ObservedAttempt]) -> AttemptCounts:
-    """Return the sum of attempts."""
+    """Return the counts of the attempts."""
     total = failed = unanswered = served = 0
     slowness = last_ms = 0.0
     for attempt in attempts:
@@ -93,7 +95,7 @@
         return len(self._attempts)
 
     def record(self, now_ms: float, server: str, class_name: str, outcome: Outcome, slowness: float) -> None:
-        """Note an attempt that ended, if its outcome says something about the server."""
+        """Record a finished attempt if its outcome is evidence of the server's health."""
         if outcome not in COUNTED_OUTCOMES:
             return
         self._rate.add(now_ms, 1.0)
@@ -106,18 +108,18 @@
         attempts.append(ObservedAttempt(now_ms, class_name, outcome, slowness))
 
     def retain(self, listed: Collection[str]) -> None:
-        """Forget all servers but these."""
+        """Drop the observations of all servers that are not listed."""
         for server in [name for name in self._attempts if name not in listed]:
             del self._attempts[server]
 
     def discard(self, server: str) -> None:
-        """Forget a server, as it is a new process."""
+        """Drop the observations of a server, for example because it restarted."""
         self._attempts.pop(server, None)
 
     def recent_counts(
         self, now_ms: float, server: str, span_ms: float = WINDOW_MS, class_name: str = ""
     ) -> AttemptCounts:
-        """Return the sum of a server's attempts of the last `span_ms`, of one class or of all."""
+        """Return counts of a server's attempts in the last `span_ms`, for one request class or for all."""
         attempts = self._attempts.get(server, ())
         return count_attempts(
             attempt
@@ -126,11 +128,11 @@
         )
 
     def recent_attempts(self, now_ms: float) -> float:
-        """Return about how many attempts all servers together had in the last `WINDOW_MS`."""
+        """Return the approximate number of attempts at all servers in the last `WINDOW_MS`."""
         return WINDOW_MS * self._rate.per_ms(now_ms)
 
     def median_slowness(self, now_ms: float) -> float:
-        """Return the median slowness over the observed servers, 1 at the least."""
+        """Return the median slowness of the observed servers, but at least 1."""
         slownesses = sorted(
             counts.slowness
             for server in self._attempts
@@ -138,32 +140,34 @@
         )
         return max(1.0, slownesses[len(slownesses) // 2]) if slownesses else 1.0
 
-    def report(self, now_ms: float, also_about: Collection[str]) -> tuple[ServerObservation, ...]:
-        """Return what is worth reporting to other instances.
+    def report(self, now_ms: float, reported_by_others: Collection[str]) -> tuple[ServerObservation, ...]:
+        """Return the observations to report to other instances.
 
-        That is servers that fail or are slow here, and whatever was observed of those in `also_about`, since
-        others report of them. It is nothing where most of the observed servers look faulty.
+        These concern the servers that fail or are slow, and all servers in `reported_by_others`, including
+        healthy ones. Nothing is reported if most of the observed servers look faulty.
         """
         counts = {server: self.recent_counts(now_ms, server) for server in self._attempts}
-        counts = {server: of_server for server, of_server in counts.items() if of_server.attempts}
-        faulty = sum(1 for of_server in counts.values() if of_server.failure_share > BAD_SHARE)
+        counts = {server: server_counts for server, server_counts in counts.items() if server_counts.attempts}
+        faulty = sum(1 for server_counts in counts.values() if server_counts.failure_share > BAD_SHARE)
         if len(counts) >= MIN_SERVERS_TO_COMPARE and 2 * faulty > len(counts):
             return ()
-        slow_from = SLOW_FACTOR * self.median_slowness(now_ms)
+        slow_threshold = SLOW_FACTOR * self.median_slowness(now_ms)
         noteworthy = [
-            (of_server.failed + of_server.unanswered, of_server.attempts, server)
-            for server, of_server in counts.items()
-            if of_server.failure_share > 0
-            or server in also_about
-            or (of_server.served >= MIN_SERVED_TO_BE_SLOW and of_server.slowness > slow_from)
+            (server_counts.failed + server_counts.unanswered, server_counts.attempts, server)
+            for server, server_counts in counts.items()
+            if server_counts.failure_share > 0
+            or server in reported_by_others
+            or (server_counts.served >= MIN_SERVED_TO_BE_SLOW and server_counts.slowness > slow_threshold)
         ]
         observations: list[ServerObservation] = []
         for _, _, server in sorted(noteworthy, reverse=True):
-            observations += self._observations_of(now_ms, server, counts[server])
+            observations += self._server_observations(now_ms, server, counts[server])
         return tuple(observations[:MAX_OBSERVED_SERVERS])
 
-    def _observations_of(self, now_ms: float, server: str, total: AttemptCounts) -> list[ServerObservation]:
-        """All classes as one, or each by itself where they fare differently: a server may fail only one."""
+    def _server_observations(
+        self, now_ms: float, server: str, total: AttemptCounts
+    ) -> list[ServerObservation]:
+        """Return one observation of all classes, or one for each if a server fails only some of them."""
         class_names = sorted({attempt.class_name for attempt in self._attempts[server]})
         by_class = {
             class_name: self.recent_counts(now_ms, server, class_name=class_name)
--- a/client_proxy/membership/gossip.py
+++ b/client_proxy/membership/gossip.py
@@ -1,4 +1,4 @@
-"""The gossip of one daemon: a `GossipNode` on a port and the daemon's clock."""
+"""Runs the `GossipNode` of one daemon on a UDP port, the event loop and the daemon's clock."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LOG_LINES = 8  # at once; of the rest only the number is logged
-MIN_TIMER_S = 0.001
-TIMER_TOLERANCE_MS = 1.0
+MAX_LOG_LINES = 8  # lines logged at a time; of further lines only the number is logged
+MIN_TIMER_S = 0.001  # s; shortest delay of the wake-up timer
+TIMER_TOLERANCE_MS = 1.0  # ms; a timer whose due time changes by less is not replaced
 
 
 class InstanceConfig(Protocol):
-    """What gossip needs of the configuration of its instance."""
+    """The part of an instance's configuration that gossip uses."""
 
     @property
     def peer_listen(self) -> Address | None:
-        """The address that the platform gives the instance for its peers."""
+        """The listen address for gossip that the platform assigned, if any."""
 
     @property
     def peers(self) -> tuple[Address, ...]:
@@ -41,11 +41,11 @@
 
     @property
     def seed(self) -> int:
-        """The seed of random draws."""
+        """The seed of the random number generator."""
 
 
 class Gossip:
-    """Gossip on an event loop; created before the daemon, started and closed with it."""
+    """Gossip on the event loop; it is created before the daemon, and started and closed with it."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         seed: int,
         port: Port | None = None,
     ) -> None:
-        """Bind the port.
+        """Bind the port, unless a bound one is given.
 
         Raises:
             OSError: the address cannot be bound.
@@ -68,7 +68,7 @@
 
     @classmethod
     def from_config(cls, config: InstanceConfig, gossip_settings: GossipSettings, keyring: Keyring) -> Gossip:
-        """Create gossip with the platform's addresses where the settings state none.
+        """Create gossip, using the platform's addresses where the gossip settings contain none.
 
         Raises:
             OSError: the address cannot be bound.
@@ -82,37 +82,37 @@
 
     @property
     def balancer_hook(self) -> ServerSuspicions:
-        """What the balancer asks before it picks a server."""
+        """The hook that the balancer consults when it picks a server."""
         return self.node.suspicions
 
     def start(self) -> None:
-        """Join the other instances."""
+        """Start receiving and join the other instances."""
         self.port.start(self._receive)
         self.node.start(now_ms())
         self._send_and_set_timer()
 
     def leave(self) -> None:
-        """Tell some members that this instance leaves; datagrams are still answered until `close`."""
+        """Notify some members that this instance leaves; it continues to answer datagrams until `close`."""
         self.node.swim.leave()
         self._send_and_set_timer()
 
     def close(self) -> None:
-        """Stop, and close the port."""
+        """Stop gossip and close the port."""
         self._is_closed = True
         if self._timer is not None:
             self._timer.cancel()
         self.port.close()
 
     def reload_keys(self) -> None:
-        """Read the key file again; a file that cannot be used changes nothing but the log."""
+        """Reload the key file; if it is unusable, keep the current keys and log a warning."""
         try:
             keyring = load_keyring(self.node.settings.keys)
         except TomlError as error:
-            log.warning("the new keys are unusable, the old ones stay in use: %s", error)
+            log.warning("cannot reload the gossip keys, the old ones stay in use: %s", error)
             return
         member = keyring.certificate.member
         if member != self.node.swim.own_number:
-            log.warning("the new keys are another instance's (%d), the old ones stay in use", member)
+            log.warning("the new gossip keys are another instance's (%d), the old ones stay in use", member)
             return
         self.node.replace_keys(keyring)
         log.info("keys read again: group keys %s", ", ".join(map(str, keyring.group_keys)))
@@ -124,14 +124,14 @@
         return self.node.read_pause_ms(now) / 1000.0
 
     def _send_and_set_timer(self) -> None:
-        """Send what there is budget for, and set the one timer for what comes next."""
+        """Send what the budget allows, and set the timer for the next time that the node is due."""
         if self._is_closed:
             return
         now = now_ms()
         batch = self.node.outgoing_datagrams(now)
         for datagram in batch.datagrams:
             self.port.send(datagram.data, datagram.destination)
-        self._log_changes()
+        self._log_state_changes()
         due_ms = min(self.node.due_ms, now + batch.wait_ms)
         if self._timer is not None:
             if abs(due_ms - self._due_ms) < TIMER_TOLERANCE_MS:
@@ -146,9 +146,9 @@
         self.node.wake(now_ms())
         self._send_and_set_timer()
 
-    def _log_changes(self) -> None:
+    def _log_state_changes(self) -> None:
         lines = self.node.take_log_lines()
         for line in lines[:MAX_LOG_LINES]:
             log.info("%s", line)
         if len(lines) > MAX_LOG_LINES:
-            log.info("and %d changes more", len(lines) - MAX_LOG_LINES)
+            log.info("%d more state changes of members", len(lines) - MAX_LOG_LINES)
--- a/client_proxy/membership/keys.py
+++ b/client_proxy/membership/keys.py
@@ -1,9 +1,9 @@
-"""Who an instance is and whom it trusts: keys from one file that only its owner may read.
+"""An instance's identity and trusted keys, read from a key file that only its owner may read.
 
-The operators' authority signs a certificate for every instance; an instance signs what it says with its own
-key; group keys keep strangers out. Two authorities and two group keys may be valid at a time, so that either
-can be changed without a moment at which half of the instances do not understand the other half
-(docs/operators/gossip.md). Signatures are Ed25519 (RFC 8032), by the library `cryptography`.
+The operators' authority signs a certificate for each instance, an instance signs its own records with its
+private key, and group keys authenticate datagrams. Two authorities and two group keys may be valid at the
+same time, so that operators can rotate either without a time at which some instances reject the records of
+others (docs/operators/gossip.md). Signatures are Ed25519 (RFC 8032), computed by the `cryptography` library.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 )
 from client_proxy.toml_table import File, Table, TomlError, read_text
 
-SECRET_BYTES = 32  # of a private key and of a group key
+SECRET_BYTES = 32  # size of a private key and of a group key
 MAX_EPOCH = 0xFFFF
-MAX_VALID_KEYS = 2
-_ACCESS_OF_OTHERS = 0o077
+MAX_VALID_KEYS = 2  # authorities, and group keys, that may be valid at the same time
+_GROUP_AND_OTHER_ACCESS = 0o077
 _PRIVATE_MODE = 0o600
 
 
 class Signer(Protocol):
-    """A private key with its public key."""
+    """A private key that signs data, with its public key."""
 
     public_key: bytes
 
@@ -43,17 +43,17 @@
 
 
 class SignatureVerifier(Protocol):
-    """Checks signatures, as `verify_signature` does."""
+    """A function that checks signatures, such as `verify_signature`."""
 
     def __call__(self, public_key: bytes, data: bytes, signature: bytes, /) -> bool:
-        """Whether the signature of `data` was made by the holder of the public key."""
+        """Whether the signature of `data` was made with the private key of `public_key`."""
 
 
 class Ed25519:
-    """A private Ed25519 key of 32 bytes."""
+    """An Ed25519 private key, created from a secret of 32 bytes."""
 
     def __init__(self, secret: bytes) -> None:
-        # Imported here since the daemon starts without the library where no table of its settings needs it.
+        # Imported here, so that the daemon starts without the library if no table of its settings needs it.
         from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
         self._key = Ed25519PrivateKey.from_private_bytes(secret)
@@ -65,7 +65,7 @@
 
 
 def verify_signature(public_key: bytes, data: bytes, signature: bytes) -> bool:
-    """Whether an Ed25519 signature of `data` was made by the holder of the public key."""
+    """Whether the Ed25519 signature of `data` was made with the private key of `public_key`."""
     from cryptography.exceptions import InvalidSignature
     from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PublicKey
 
@@ -81,11 +81,11 @@
     """The keys of one instance.
 
     Attributes:
-        certificate: the instance's own.
-        signer: the instance's own key.
-        group_keys: by number; the first is sent with, all are accepted.
-        authority_keys: public keys by number.
-        verify: checks signatures.
+        certificate: the instance's certificate.
+        signer: the instance's private key.
+        group_keys: group keys by number; the first one is used for sending, and all are accepted.
+        authority_keys: the authorities' public keys, by number.
+        verify: the function that checks signatures.
     """
 
     certificate: Certificate
@@ -96,11 +96,11 @@
 
     @property
     def sending_group(self) -> int:
-        """The number of the group key that this instance sends with."""
+        """The number of the group key that is used for sending."""
         return next(iter(self.group_keys))
 
     def trusts(self, certificate: Certificate) -> bool:
-        """Whether an authority that is valid now signed the certificate; costs a verification."""
+        """Whether a currently valid authority signed the certificate; this verifies a signature."""
         public_key = self.authority_keys.get(certificate.authority)
         if public_key is None:
             return False
@@ -110,7 +110,7 @@
 def issue_certificate(
     authority: Signer, authority_number: int, member: int, zone: str, epoch: int, public_key: bytes
 ) -> Certificate:
-    """Return a certificate for the holder of `public_key`, signed by the authority."""
+    """Return a certificate for a member's public key, signed by the authority."""
     zone_tag = name_tag(zone)
     unsigned = Certificate(member, zone_tag, epoch, authority_number, public_key, b"")
     signature = authority.sign(unsigned.signed_bytes)
@@ -118,20 +118,20 @@
 
 
 def check_file_mode(path: str | Path) -> None:
-    """Check that nobody but its owner may read or write a file, and that the owner is this user or root.
+    """Check that only a file's owner may access it, and that the owner is this user or root.
 
     Raises:
-        TomlError: it is not so, or the file cannot be found.
+        TomlError: the mode or the owner is not allowed, or the file's status cannot be read.
     """
     try:
         status = os.stat(path)
     except OSError as error:
         raise TomlError(f"{path}: {error}") from error
     mode = stat.S_IMODE(status.st_mode)
-    if mode & _ACCESS_OF_OTHERS:
+    if mode & _GROUP_AND_OTHER_ACCESS:
         raise TomlError(f"{path}: its mode is {mode:04o}; only its owner may read it (0600 or 0400)")
     if status.st_uid not in (os.geteuid(), 0):
-        raise TomlError(f"{path}: it belongs to user {status.st_uid}, neither to us nor to root")
+        raise TomlError(f"{path}: its owner is user {status.st_uid}; it must be this process's user or root")
 
 
 def _read_bytes(table: Table, key: str, size: int) -> bytes:
@@ -152,28 +152,30 @@
     for table in tables:
         number = table.whole("number", least=0, most=MAX_U8)
         if number in keys:
-            table.fault("number", f"{number} stands twice")
+            table.fault("number", f"{number} is used twice")
         keys[number] = _read_bytes(table, key, size)
         table.end()
     if len(keys) > MAX_VALID_KEYS:
-        tables[-1].fault("number", f"{MAX_VALID_KEYS} are valid at a time, not {len(keys)}")
+        tables[-1].fault("number", f"at most {MAX_VALID_KEYS} are valid at a time, not {len(keys)}")
     return keys
 
 
 def parse_keyring(text: str, name: str) -> Keyring:
-    """Return the keys in the text of a key file.
+    """Return the keyring that the text of a key file describes.
 
     Args:
         text: the file's content.
-        name: the file's name, for the errors.
+        name: the file's name, for error messages.
 
     Raises:
-        TomlError: with a line for each fault.
+        TomlError: the text is invalid; the message has one line for each fault.
     """
     file = File(text, name)
     top = file.top()
     member = top.whole("member", least=0, most=MAX_U32)
-    zone = top.text("hall")  # the key of files that were written before zones had this name
+    zone = top.text(
+        "hall"
+    )  # "hall" is an older word for zone; the key is unchanged so that existing files stay valid
     epoch = top.whole("epoch", least=0, most=MAX_EPOCH)
     authority_number = top.whole("authority_number", least=0, most=MAX_U8)
     signature = _read_bytes(top, "signature", SIGNATURE_BYTES)
@@ -186,15 +188,15 @@
     certificate = Certificate(member, name_tag(zone), epoch, authority_number, signer.public_key, signature)
     keyring = Keyring(certificate, signer, group_keys, authority_keys)
     if not keyring.trusts(certificate):
-        raise TomlError(f"{name}: the certificate is not signed by an authority that stands in the file")
+        raise TomlError(f"{name}: the certificate is not signed by an authority listed in the file")
     return keyring
 
 
 def load_keyring(path: str | Path) -> Keyring:
-    """Return the keys in a file.
+    """Return the keyring stored in a file.
 
     Raises:
-        TomlError: the file is not usable, or others may read it.
+        TomlError: the file is invalid, or its owner or mode is not allowed.
     """
     check_file_mode(path)
     return parse_keyring(read_text(path), str(path))
@@ -211,7 +213,7 @@
     group_keys: dict[int, bytes],
     authority_keys: dict[int, bytes],
 ) -> str:
-    """Return the text of a key file, which `parse_keyring` reads."""
+    """Return the text of a key file, in the form that `parse_keyring` reads."""
     lines = [
         f"member = {certificate.member}",
         f'hall = "{zone}"',
@@ -231,7 +233,7 @@
     """Write a new file that only its owner may read.
 
     Raises:
-        FileExistsError: there is such a file; no key is ever overwritten.
+        FileExistsError: the file exists already; a key is never overwritten.
     """
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, _PRIVATE_MODE)
     with os.fdopen(descriptor, "w", encoding="utf-8") as file:
--- a/client_proxy/membership/link.py
+++ b/client_proxy/membership/link.py
@@ -1,8 +1,8 @@
-"""UDP on the daemon's event loop.
+"""UDP socket on the daemon's event loop.
 
-Reading each datagram of a flood only to drop it would take the core that requests need. Therefore a port
-whose reader wants no more stops reading; the system drops what its small buffer does not hold, at no cost to
-this process.
+During a flood, reading every datagram only to drop it would use up the CPU time that requests need.
+Therefore the handler can pause reading; the kernel then drops what doesn't fit into the small receive buffer,
+at no cost to this process.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 log = logging.getLogger(__name__)
 
-MAX_READS_PER_TURN = 16  # of the event loop
+MAX_READS_PER_TURN = 16  # datagrams read in one iteration of the event loop
 RECEIVE_BUFFER_BYTES = 64 * 1024
 
 DatagramHandler = Callable[[bytes, Address], float]
-"""Takes a datagram and its source. Returns for how many seconds no more are wanted; 0: go on."""
+"""Handles a datagram, given its source; returns for how many seconds to pause reading, 0 for no pause."""
 
 
 class Port(Protocol):
-    """A datagram socket, bound from the start; it receives nothing before `start`."""
+    """A bound datagram socket, which receives nothing before `start`."""
 
     address: Address
 
@@ -34,10 +34,10 @@
         """Pass what is received to `handler` from now on."""
 
     def send(self, data: bytes, destination: Address) -> None:
-        """Send a datagram, which may be lost without a notice."""
+        """Send a datagram, which may be lost without notification."""
 
     def close(self) -> None:
-        """Stop receiving and free the address."""
+        """Stop receiving and release the address."""
 
 
 class UdpPort:
@@ -70,11 +70,11 @@
         self._listen()
 
     def send(self, data: bytes, destination: Address) -> None:
-        """Send a datagram, which may be lost; an error is logged at debug level only."""
+        """Send a datagram, which may be lost; errors are only logged at debug level."""
         try:
             self._socket.sendto(data, destination)
         except OSError as error:
-            log.debug("sending to %s:%d: %s", *destination, error)
+            log.debug("sending a datagram to %s:%d failed: %s", *destination, error)
 
     def close(self) -> None:
         """Stop receiving and close the socket."""
@@ -94,8 +94,8 @@
                 data, source = self._socket.recvfrom(self._max_datagram_bytes + 1)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError as error:  # such as an ICMP error for something sent before
-                log.debug("receiving: %s", error)
+            except OSError as error:  # for example an ICMP error in response to an earlier datagram
+                log.debug("receiving a datagram failed: %s", error)
                 return
             assert self._handler is not None
             pause_s = self._handler(data, (source[0], source[1]))
--- a/client_proxy/membership/members.py
+++ b/client_proxy/membership/members.py
@@ -1,8 +1,9 @@
-"""The table of known members and their states, with a bound on its size.
+"""Bounded table of known members and their states, and cache of their certificates.
 
-A fleet may be larger than the table. Then each instance keeps the members whose number, hashed with its own,
-ranks highest (rendezvous hashing: Thaler, Ravishankar, 1998): always the same ones, for every instance
-others, so that all instances together keep everybody and nobody can choose who is kept.
+If the fleet is larger than the table, each instance keeps the members whose number, hashed together with its
+own number, ranks highest (rendezvous hashing: Thaler, Ravishankar, 1998). An instance always keeps the same
+members and different instances keep different ones, so that all instances together know the whole fleet and
+no member can choose who is kept.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 from client_proxy.membership.messages import DIGEST_BUCKETS, MAX_BUCKET_ENTRIES, Alive, Certificate
 from client_proxy.membership.replay import ReplayWindow
 
-MAX_CERTIFICATES = 2048  # more than members, as the table has no room for some
+MAX_CERTIFICATES = 2048  # more than members, so that members without room in the table are included
 _NUMBER_PAIR = struct.Struct(">II")
 
 
 class MemberState(Enum):
-    """How this instance sees a member."""
+    """The state of a member as this instance sees it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -36,7 +37,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """One known member."""
+    """A known member, with its records and state."""
 
     certificate: Certificate
     alive: Alive
@@ -44,11 +45,11 @@
     state_since_ms: float = 0.0
     suspected_by: set[int] = field(default_factory=set)
     replay_window: ReplayWindow = field(default_factory=ReplayWindow)
-    is_verified: bool = False  # it answered a nonce drawn here, so it is no recording of an earlier time
+    is_verified: bool = False  # it answered a nonce of this instance, so its records are not replayed ones
 
     @property
     def number(self) -> int:
-        """The number that the operators gave it."""
+        """The member number that the operators assigned."""
         return self.certificate.member
 
     @property
@@ -58,12 +59,12 @@
 
 
 class MemberTable:
-    """All known members but this instance itself."""
+    """All known members, without this instance itself."""
 
     def __init__(self, own_number: int, max_members: int) -> None:
         self._own_number, self._max_members = own_number, max_members
         self._members: dict[int, Member] = {}
-        self.overflowed = False  # a member was not added or was evicted: the table is not the whole fleet
+        self.overflowed = False  # whether a member was rejected or evicted for lack of room
 
     def __len__(self) -> int:
         return len(self._members)
@@ -76,20 +77,20 @@
         return self._members.get(number)
 
     def rank(self, number: int) -> bytes:
-        """Return a member's rank for this instance; the higher is kept."""
+        """Return a member's rank for this instance; members of higher rank are kept."""
         return blake2b(_NUMBER_PAIR.pack(self._own_number, number), digest_size=8).digest()
 
     def add(self, member: Member) -> Member | None:
-        """Add a member if there is room or if it ranks above another, which is then evicted.
+        """Add a member if there is room, or if it can replace a member that is not present or ranks lower.
 
         Returns:
-            Who is not in the table in consequence: the member itself, the evicted one, or None.
+            The member that was rejected or evicted, or None if there was room.
         """
         if len(self._members) < self._max_members:
             self._members[member.number] = member
             return None
         self.overflowed = True
-        # Dead members go first, or they would keep living ones out.
+        # Dead members are evicted first; otherwise they would exclude living ones.
         lowest = min(self, key=lambda known: (known.is_present, self.rank(known.number)))
         if lowest.is_present and self.rank(lowest.number) > self.rank(member.number):
             return member
@@ -98,7 +99,7 @@
         return lowest
 
     def remove(self, number: int) -> None:
-        """Remove a member, if it is there."""
+        """Remove a member if it is in the table."""
         self._members.pop(number, None)
 
     def present(self) -> list[Member]:
@@ -106,7 +107,7 @@
         return [member for member in self._members.values() if member.is_present]
 
     def checksums(self, own_incarnation: int) -> tuple[int, ...]:
-        """Return, by bucket, a checksum over all known members and this instance itself."""
+        """Return for each bucket a checksum over its known members, including this instance."""
         sums = [0] * DIGEST_BUCKETS
         sums[self._own_number % DIGEST_BUCKETS] ^= _checksum(self._own_number, own_incarnation)
         for member in self:
@@ -114,7 +115,7 @@
         return tuple(sums)
 
     def bucket_entries(self, bucket: int, own_incarnation: int) -> tuple[tuple[int, int], ...]:
-        """Return number and incarnation of the members of a bucket, this instance among them."""
+        """Return number and incarnation of the members in a bucket, including this instance."""
         entries = [
             (member.number, member.alive.incarnation)
             for member in self
@@ -130,9 +131,9 @@
 
 
 class CertificateCache:
-    """Certificates whose signature was valid; the one used least recently is dropped first.
+    """Bounded cache of verified certificates; the least recently used one is dropped first.
 
-    Also those of members that the table has no room for, since an observer may be one of them.
+    It includes certificates of members that the table has no room for, since these may be observers too.
     """
 
     def __init__(self, max_certificates: int = MAX_CERTIFICATES) -> None:
@@ -150,14 +151,14 @@
         return certificate
 
     def put(self, certificate: Certificate) -> None:
-        """Keep a certificate, in place of an earlier one of its member."""
+        """Store a certificate, replacing an earlier one of the same member."""
         self._certificates[certificate.member] = certificate
         self._certificates.move_to_end(certificate.member)
         if len(self._certificates) > self._max_certificates:
             self._certificates.popitem(last=False)
 
     def retain_authorities(self, authorities: set[int]) -> None:
-        """Forget the certificates of all authorities but these."""
+        """Drop all certificates except those of the given authorities."""
         retired = [
             number
             for number, certificate in self._certificates.items()
--- a/client_proxy/membership/messages.py
+++ b/client_proxy/membership/messages.py
@@ -1,8 +1,8 @@
-"""The records of the gossip protocol as immutable types, with their limits and what a signature covers.
+"""The records of the gossip protocol as immutable types, with their limits and signed bytes.
 
-The codec (`codec.py`) turns them into datagrams and back. Three records carry the Ed25519 signature (RFC
-8032) of whoever vouches for them, so that others can pass them on but cannot change them: a `Certificate`
-that of an authority, `Alive` and `ObservationReport` that of the member that they come from.
+The codec (`codec.py`) encodes and decodes them. Three record types carry an Ed25519 signature (RFC 8032), so
+that other members can forward them but cannot change them: an authority signs a `Certificate`, and a member
+signs its own `Alive` and `ObservationReport` records.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 MAX_U8, MAX_U32 = 0xFF, 0xFFFFFFFF
 SIGNATURE_BYTES = 64
 PUBLIC_KEY_BYTES = 32
-HOST_BYTES = 16
-DIGEST_BUCKETS = 16
-MAX_OBSERVED_SERVERS = 8  # in one report
-MAX_BUCKET_ENTRIES = 24
-MAX_REQUESTED_MEMBERS = 32
-MAX_HINTED_ADDRESSES = 10
+HOST_BYTES = 16  # size of an IP address on the wire
+DIGEST_BUCKETS = 16  # a member belongs to the bucket of its number modulo this
+MAX_OBSERVED_SERVERS = 8  # observations in one report
+MAX_BUCKET_ENTRIES = 24  # members in one bucket summary
+MAX_REQUESTED_MEMBERS = 32  # members in one member request
+MAX_HINTED_ADDRESSES = 10  # addresses in one record of address hints
 
 CERTIFICATE_LAYOUT = struct.Struct(">IIHB32s64s")
 ALIVE_LAYOUT = struct.Struct(">IIIBH16s")
@@ -33,22 +33,22 @@
 
 
 def name_tag(name: str) -> int:
-    """Return what stands for a server's or a zone's name on the wire: 4 bytes of its BLAKE2b hash.
+    """Return the tag that replaces a server's or a zone's name on the wire: 4 bytes of its BLAKE2b hash.
 
-    Two names of ten thousand share a tag in about one fleet of a hundred; who looks names up by their tags
-    has to pass over both.
+    Among ten thousand names, two share a tag in about one fleet out of a hundred; code that looks names up by
+    tag must ignore both of these names.
     """
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
 def class_tag(name: str) -> int:
-    """Return what stands for a request class on the wire: 1 to 255, as 0 stands for all classes."""
+    """Return the tag of a request class on the wire, from 1 to 255, as 0 means all classes."""
     return 1 + blake2b(name.encode(), digest_size=1).digest()[0] % MAX_U8
 
 
 @lru_cache(4096)
 def pack_host(host: str) -> bytes:
-    """Return an IP address as 16 bytes; IPv4 as its mapped IPv6 address (RFC 4291, 2.5.5.2)."""
+    """Return an IP address as 16 bytes; an IPv4 address becomes an IPv4-mapped one (RFC 4291, 2.5.5.2)."""
     address = ipaddress.ip_address(host)
     if address.version == 4:
         return b"\0" * 10 + b"\xff\xff" + address.packed
@@ -57,35 +57,38 @@
 
 @lru_cache(4096)
 def unpack_host(packed: bytes) -> str:
-    """Return the IP address that `pack_host` packed, as text."""
+    """Return the IP address that `pack_host` encoded, as text."""
     address = ipaddress.IPv6Address(packed)
     return str(address.ipv4_mapped or address)
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """A probe, to be answered by an `Ack` of the same nonce, which the sender drew at random."""
+    """A probe with a random nonce, to be answered by an `Ack` with the same nonce."""
 
     nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """The answer to a `Ping`, or to a `PingRequest` whose member answered."""
+    """The answer to a `Ping`, or to a `PingRequest` if the probed member answered."""
 
     nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class Nack:
-    """A helper has no answer to its ping yet: the requester's own network works (Lifeguard)."""
+    """A helper's notice that the probed member has not answered it yet (Lifeguard).
+
+    It shows the requester that its own network connection works.
+    """
 
     nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """A request to probe a member on the sender's behalf (SWIM's ping-req)."""
+    """A request to probe a member on behalf of the sender (SWIM's ping-req)."""
 
     nonce: int
     member: int
@@ -93,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspect:
-    """`accuser` had no answer from `member`, which it knows in this incarnation."""
+    """A statement that `accuser` got no answer from `member` in this incarnation."""
 
     member: int
     incarnation: int
@@ -102,15 +105,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Certificate:
-    """Who a member is: its zone and public key, signed by an authority of the operators.
+    """A member's zone and public key, signed by an authority of the operators.
 
-    A certificate of a higher epoch replaces the one before.
+    A certificate of a higher epoch replaces an earlier one.
     """
 
     member: int
-    zone: int  # tag of its name
+    zone: int  # `name_tag` of the zone's name
     epoch: int
-    authority: int  # number of the authority's key
+    authority: int  # number of the authority whose key signed it
     public_key: bytes
     signature: bytes
 
@@ -124,10 +127,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Alive:
-    """What a member says of itself: where it can be reached, or that it has left.
+    """A member's signed statement about itself: its address, and whether it has left.
 
-    Only the member can raise its incarnation. `boot_id` is drawn at random at each start: a record of its
-    incarnation with another one shows a member that it ran before, and that it has to go higher.
+    Only the member can raise its incarnation. `boot_id` is random for each start: when a member receives its
+    own record with the same incarnation and another boot id, it ran before and must raise its incarnation.
     """
 
     member: int
@@ -140,7 +143,7 @@
 
     @property
     def address(self) -> Address:
-        """Host and port."""
+        """The member's IP address and port."""
         return self.host, self.port
 
     @property
@@ -157,28 +160,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerObservation:
-    """What an observer saw of one server with one class of requests lately: counts, never a verdict."""
+    """An observer's recent attempt counts for one server and one request class, or all classes together."""
 
-    server_tag: int  # `name_tag` of its name
-    class_tag: int  # `class_tag` of its name; 0: all classes together
-    attempts: int  # up to 255
-    failed: int  # of them, answered badly, reset or not connected
-    unanswered: int  # of them, still without an answer when their time was up
-    slowness: int  # mean latency of those served, over their class's unloaded latency, in sixteenths; 0: none
-    age: int  # tenths of a second since the last of them ended
+    server_tag: int  # `name_tag` of the server's name
+    class_tag: int  # `class_tag` of the request class; 0 for all classes together
+    attempts: int  # number of attempts, up to 255
+    failed: int  # attempts that ended in an error response, a reset or a failed connect
+    unanswered: int  # attempts that timed out without an answer
+    slowness: int  # mean latency of served attempts over the unloaded latency, in sixteenths; 0: none served
+    age: int  # tenths of a second since the last attempt ended
 
     @property
     def failure_share(self) -> float:
-        """The share of attempts that failed or had no answer."""
+        """The share of attempts that failed or got no answer."""
         return (self.failed + self.unanswered) / self.attempts
 
 
 @dataclass(frozen=True, slots=True)
 class ObservationReport:
-    """What one observer saw of servers.
+    """An observer's signed observations of servers.
 
-    The higher `sequence` replaces the lower. Two reports of one number that differ prove that the observer
-    equivocates: it says different things to different members.
+    A report with a higher `sequence` replaces an earlier one. Two different reports with the same sequence
+    number prove that the observer equivocates: it sends different reports to different members.
     """
 
     observer: int
@@ -197,36 +200,36 @@
         head = REPORT_LAYOUT.pack(self.observer, self.incarnation, self.sequence, len(self.observations))
         packed_observations = (
             OBSERVATION_LAYOUT.pack(
-                seen.server_tag,
-                seen.class_tag,
-                seen.attempts,
-                seen.failed,
-                seen.unanswered,
-                seen.slowness,
-                seen.age,
+                observation.server_tag,
+                observation.class_tag,
+                observation.attempts,
+                observation.failed,
+                observation.unanswered,
+                observation.slowness,
+                observation.age,
             )
-            for seen in self.observations
+            for observation in self.observations
         )
         return head + b"".join(packed_observations)
 
 
 @dataclass(frozen=True, slots=True)
 class MemberRequest:
-    """A request for the `Certificate` and `Alive` of these members."""
+    """A request for the `Certificate` and `Alive` records of these members."""
 
     members: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """A checksum of the known members for each bucket of member numbers."""
+    """A checksum over the known members of each bucket of member numbers."""
 
     checksums: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class BucketSummary:
-    """All known members of one bucket, each with its incarnation."""
+    """The known members of one bucket, each with its incarnation."""
 
     bucket: int
     entries: tuple[tuple[int, int], ...]
@@ -234,7 +237,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressHints:
-    """Addresses to contact, for a member that knows too few others; no statement that anybody is there."""
+    """Unverified addresses of members, to be contacted by a member that knows too few others."""
 
     addresses: tuple[Address, ...]
 
@@ -257,9 +260,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Header:
-    """What precedes the records of a datagram."""
+    """The header of a datagram, which precedes its records."""
 
-    group_key: int  # number of the key of its MAC
+    group_key: int  # number of the group key that the MAC is computed with
     sender: int
     incarnation: int
     counter: int
@@ -267,7 +270,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """A decoded datagram, whose MAC was valid."""
+    """A decoded datagram with a valid MAC."""
 
     header: Header
     records: tuple[Record, ...]
--- a/client_proxy/membership/node.py
+++ b/client_proxy/membership/node.py
@@ -1,9 +1,9 @@
-"""One instance's gossip: datagrams in, datagrams out, and a time to wake.
+"""The gossip protocol of one instance without I/O: it receives datagrams and returns datagrams to send.
 
-What it sends has a budget (datagrams and bytes a second) that no other instance can raise. What it receives
-has one before anything costly is done; over it, datagrams are dropped in silence. Checks come in the order of
-their cost: length and version, the source's budget, the MAC, then signatures, which have a budget of their
-own.
+Sending is limited by a budget of datagrams and bytes per second, which no other instance can raise. Receiving
+is limited before any costly check; datagrams over the limit are dropped silently. Checks are made in order of
+their cost: length and version, the budget of the source, the MAC, and then signatures, which have a separate
+budget.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 from client_proxy.membership.swim import SwimProtocol
 from client_proxy.token_bucket import TokenBucket
 
-MAX_QUEUED_DATAGRAMS = 128
-MAX_SOURCES = 1024
-MIN_REPORT_INTERVAL_MS = 500.0  # between two own reports, while something new was observed
-REPEAT_REPORT_MS = 2000.0  # and while nothing new was, but what was reported still holds
-REQUESTS_PER_S, REQUEST_BURST = 0.5, 1.0  # for the certificate of one observer
-BURST_S = 0.5  # of the budgets
-QUEUE_SHARE_FOR_BROADCASTS = 8  # broadcasts get datagrams of their own while the queue is that much emptier
-RESUME_READING_AT = 8.0  # datagrams that the budget allows
+MAX_QUEUED_DATAGRAMS = 128  # datagrams waiting to be sent
+MAX_SOURCES = 1024  # source addresses with a rate limit of their own
+MIN_REPORT_INTERVAL_MS = 500.0  # ms; between two reports by this instance if its observations changed
+REPEAT_REPORT_MS = 2000.0  # ms; between two reports if its observations are unchanged
+REQUESTS_PER_S, REQUEST_BURST = 0.5, 1.0  # limit of requests for the certificate of one observer
+BURST_S = 0.5  # s; burst of each budget, as the time in which its rate yields this amount
+QUEUE_SHARE_FOR_BROADCASTS = 8  # datagrams for broadcasts alone are sent below 1/8 of the queue's bound
+RESUME_READING_TOKENS = 8.0  # datagrams that the receive budget allows when reading resumes
 
 
 @dataclass(slots=True)
 class Counters:
-    """What was sent and received, and why what was received was not accepted."""
+    """Numbers of datagrams sent, accepted and dropped, and of signatures and reports checked."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedDatagram:
-    """Records that wait to be sent; broadcasts fill the room that they leave."""
+    """Records that wait to be sent in one datagram; broadcasts are added to its remaining room."""
 
     destination: Address
     records: Sequence[Record]
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingDatagram:
-    """A datagram to send now."""
+    """An encoded datagram to send now."""
 
     data: bytes
     destination: Address
@@ -75,15 +75,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SendBatch:
-    """What the budget allows to send now."""
+    """The datagrams that the send budget allows now."""
 
     datagrams: list[OutgoingDatagram]
-    wait_ms: float  # until there is budget for more; infinite: nothing waits
+    wait_ms: float  # ms until the budget allows more; infinite if the queue is empty
 
 
 @dataclass(frozen=True, slots=True)
 class _ObservedCounts:
-    """The part of an observation whose change makes it news."""
+    """The fields of an observation whose change causes a new report."""
 
     server_tag: int
     class_tag: int
@@ -92,7 +92,7 @@
 
 
 class GossipNode:
-    """The protocol of one instance: membership and observations of servers, under budgets."""
+    """One instance's membership protocol and exchange of server observations, with rate limits."""
 
     def __init__(
         self,
@@ -112,9 +112,9 @@
         self.suspicions = ServerSuspicions(
             balancer_settings, seed, keyring.certificate.zone, self.swim.health
         )
-        self._send_budget = _budget(gossip_settings.sends_per_s)
-        self._byte_budget = _budget(gossip_settings.bytes_per_s)
-        self._receive_budget = _budget(gossip_settings.takes_per_s)
+        self._send_budget = _token_bucket(gossip_settings.sends_per_s)
+        self._byte_budget = _token_bucket(gossip_settings.bytes_per_s)
+        self._receive_budget = _token_bucket(gossip_settings.takes_per_s)
         self._sources = SourceRateLimiter(
             gossip_settings.source_per_s, gossip_settings.source_per_s, MAX_SOURCES
         )
@@ -133,10 +133,10 @@
 
     @property
     def source_count(self) -> int:
-        """The number of sources that have a budget of their own now."""
+        """The number of source addresses that currently have a rate limit."""
         return len(self._sources)
 
-    # Time
+    # Timers
 
     def start(self, now_ms: float) -> None:
         """Join the other instances."""
@@ -145,11 +145,11 @@
 
     @property
     def due_ms(self) -> float:
-        """When to call `wake` next, whatever happens."""
+        """The time at which `wake` must be called next at the latest."""
         return min(self.swim.due_ms, self._broadcast_due_ms)
 
     def wake(self, now_ms: float) -> None:
-        """Do what is due."""
+        """Run the timers that are due, and periodically report observations and send broadcasts."""
         self.swim.run_timers(now_ms)
         if now_ms >= self._broadcast_due_ms:
             self._broadcast_due_ms = now_ms + self.settings.spread_ms
@@ -159,7 +159,7 @@
         self.suspicions.instance_count = len(self.swim.members) + 1
 
     def _broadcast(self) -> None:
-        """Send broadcasts in datagrams of their own, while little else waits."""
+        """Queue datagrams for broadcasts alone, if few other datagrams are waiting."""
         if (
             len(self.swim.broadcasts)
             and len(self._queue) < MAX_QUEUED_DATAGRAMS // QUEUE_SHARE_FOR_BROADCASTS
@@ -168,13 +168,13 @@
                 self._enqueue(SendPriority.BROADCAST, member.alive.address, ())
 
     def _report_observations(self, now_ms: float) -> None:
-        """Broadcast what was observed here, if it is news."""
+        """Broadcast this instance's observations if they changed or are due to be repeated."""
         if now_ms - self._reported_ms < MIN_REPORT_INTERVAL_MS:
             return
         observations = self.suspicions.current_observations(now_ms)
-        is_news = _observed_counts(observations) != _observed_counts(self._reported)
+        has_changed = _observed_counts(observations) != _observed_counts(self._reported)
         is_repetition_due = now_ms - self._reported_ms >= REPEAT_REPORT_MS
-        if not (is_news or (observations and is_repetition_due)):
+        if not (has_changed or (observations and is_repetition_due)):
             return
         self._reported, self._reported_ms = observations, now_ms
         self._sequence += 1
@@ -182,7 +182,7 @@
         self.swim.broadcasts.put(Topic(ObservationReport, self.swim.own_number), report)
 
     def sign_report(self, sequence: int, observations: tuple[ServerObservation, ...]) -> ObservationReport:
-        """Return a report of these observations, signed by this instance."""
+        """Return a report of the observations, signed by this instance."""
         fields = (self.swim.own_number, self.swim.incarnation, sequence, observations)
         unsigned = ObservationReport(*fields, b"")
         return ObservationReport(*fields, self.swim.keyring.signer.sign(unsigned.signed_bytes))
@@ -193,7 +193,7 @@
         self._queue.put(priority, QueuedDatagram(destination, records))
 
     def outgoing_datagrams(self, now_ms: float) -> SendBatch:
-        """Take the datagrams to send now from the queue."""
+        """Take the datagrams from the queue that the send budget allows now."""
         datagrams: list[OutgoingDatagram] = []
         while (queued := self._queue.peek()) is not None:
             wait_ms = max(
@@ -213,12 +213,12 @@
         return SendBatch(datagrams, float("inf"))
 
     def _encode(self, records: Sequence[Record]) -> bytes | None:
-        """Return a datagram of the records and of broadcasts; None if there is nothing to send."""
+        """Return a datagram of the records and as many broadcasts as fit, or None if there are none."""
         packed_records = [pack_record(record) for record in records]
         room = MAX_BODY_BYTES - sum(map(len, packed_records))
         packed_records += self.swim.broadcasts.take(room, self.swim.retransmit_limit)
         if not packed_records:
-            return None  # the broadcasts that it was meant for have been sent often enough meanwhile
+            return None  # it was queued for broadcasts, which have reached their retransmit limit since
         incarnation = self.swim.incarnation
         if self._counter_incarnation != incarnation:
             self._counter_incarnation, self._counter = incarnation, 0
@@ -230,7 +230,7 @@
     # Receiving
 
     def receive(self, now_ms: float, data: bytes, source: Address) -> None:
-        """Take a datagram, from anybody."""
+        """Process a received datagram, whose source is not trusted."""
         if not self._receive_budget.take(now_ms):
             self.counters.over_budget += 1
             return
@@ -268,7 +268,7 @@
             self.counters.bad_signatures += 1
             return
         if not is_newer:
-            # Only the observer can sign with its key: this is proof.
+            # Only the observer has the signing key, so two signed reports prove that it equivocated.
             self.suspicions.receive_equivocation(now_ms, report.observer)
             return
         self.counters.reports_accepted += 1
@@ -276,29 +276,34 @@
         self.swim.broadcasts.put(Topic(ObservationReport, report.observer), report)
 
     def read_pause_ms(self, now_ms: float) -> float:
-        """Return for how long no more datagrams are wanted: until there is budget for a few; 0: go on."""
+        """Return for how many ms to pause reading until the receive budget allows some datagrams, or 0."""
         if self._receive_budget.wait_ms(now_ms) <= 0:
             return 0.0
-        return self._receive_budget.wait_ms(now_ms, RESUME_READING_AT)
+        return self._receive_budget.wait_ms(now_ms, RESUME_READING_TOKENS)
 
     def replace_keys(self, keyring: Keyring) -> None:
-        """Use other keys."""
+        """Replace the keys, and remove members whose certificate's authority is no longer valid."""
         self.swim.replace_keys(keyring)
 
     def take_log_lines(self) -> list[str]:
-        """Return the members' changes of state to log since the last call.
+        """Return log lines of the members' state changes since the last call.
 
-        What the balancer's hook has to log goes to the balancer that asks it.
+        The log lines about servers are returned by `ServerSuspicions.take_log_lines` to the balancer.
         """
         return self.swim.take_state_changes()
 
 
-def _budget(per_s: float) -> TokenBucket:
+def _token_bucket(per_s: float) -> TokenBucket:
     return TokenBucket(per_s, per_s * BURST_S)
 
 
 def _observed_counts(observations: tuple[ServerObservation, ...]) -> set[_ObservedCounts]:
     return {
-        _ObservedCounts(seen.server_tag, seen.class_tag, seen.attempts, seen.failed + seen.unanswered)
-        for seen in observations
+        _ObservedCounts(
+            observation.server_tag,
+            observation.class_tag,
+            observation.attempts,
+            observation.failed + observation.unanswered,
+        )
+        for observation in observations
     }
--- a/client_proxy/membership/probe_order.py
+++ b/client_proxy/membership/probe_order.py
@@ -1,4 +1,4 @@
-"""The order in which members are probed: random round robin (SWIM, section 4.3)."""
+"""The order in which members are probed: randomized round robin (SWIM, section 4.3)."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class ProbeOrder:
-    """Random round robin: each member is probed once before any is twice.
+    """Randomized round robin: each member is probed once before any member is probed again.
 
-    That puts a bound on how long a death can go unnoticed.
+    This bounds the time until a member's death is detected.
     """
 
     def __init__(self, state: SwimState) -> None:
@@ -17,7 +17,7 @@
         self._numbers: list[int] = []
 
     def insert(self, number: int) -> None:
-        """Insert a new member at a random place."""
+        """Insert a new member at a random position of the current round."""
         self._numbers.insert(self._state.random.randint(0, len(self._numbers)), number)
 
     def next(self) -> Member | None:
--- a/client_proxy/membership/probing.py
+++ b/client_proxy/membership/probing.py
@@ -1,6 +1,6 @@
-"""Failure detection by probes: in random round-robin order, directly and then through helpers (SWIM).
+"""Failure detection by probes in randomized round-robin order, direct and then through helpers (SWIM).
 
-Time-outs and periods grow with this instance's doubts about its own health (Lifeguard).
+Timeouts and periods grow as this instance's own health score gets worse (Lifeguard).
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from client_proxy.membership.probe_order import ProbeOrder
 from client_proxy.membership.swim_state import SwimState
 
-MAX_PENDING_PROBES = 64
-MAX_PROBES_FOR_OTHERS = MAX_PENDING_PROBES // 2
-NACK_TIMEOUT_SHARE = 0.8  # of the time-out, after which a helper says that it has no answer
-MAX_TIMEOUT_PERIODS = 0.45  # so that a whole probe with its helpers fits one period, as in the paper
-RECONNECT_PERIODS = 4  # between two calls on a member that is taken for dead
-RECONNECT_SEED_SHARE = 0.1  # of these calls that also go to a seed
+MAX_PENDING_PROBES = 64  # pings that wait for an ack; over it, the oldest is dropped
+MAX_PROBES_FOR_OTHERS = MAX_PENDING_PROBES // 2  # pending pings on behalf of other members
+NACK_TIMEOUT_SHARE = 0.8  # share of the timeout after which a helper sends a nack
+MAX_TIMEOUT_PERIODS = 0.45  # periods; a probe with its helpers then fits into one period, as in the paper
+RECONNECT_PERIODS = 4  # periods between two pings to members that are considered dead
+RECONNECT_SEED_SHARE = 0.1  # share of these pings at which a seed is contacted too
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeRequester:
-    """The member that a probe is made for, and the nonce under which it waits for the answer."""
+    """The member on whose behalf a probe is made, and the nonce of its request."""
 
     address: Address
     nonce: int
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingProbe:
-    """A ping that waits for its ack: an own one, or one for another member."""
+    """A ping that waits for an ack, sent for this instance or on behalf of another member."""
 
     member: int
     requester: ProbeRequester | None = None
@@ -43,7 +43,7 @@
 
 
 class Prober:
-    """Probes members, and answers for members that others cannot reach."""
+    """Probes members periodically, and on request of other members."""
 
     def __init__(
         self, state: SwimState, order: ProbeOrder, suspicion: MemberSuspicion, joining: Joining
@@ -54,20 +54,20 @@
 
     @property
     def pending_count(self) -> int:
-        """The number of probes that wait for an answer."""
+        """The number of pings that wait for an ack."""
         return len(self._pending)
 
     def start(self, now_ms: float) -> None:
-        """Start probing, after a random part of a period: a whole fleet may start at once."""
+        """Start probing after a random part of a period, since a whole fleet may start at once."""
         first_ms = now_ms + self._state.settings.period_ms * self._state.random.random()
         self._state.timers.set(first_ms, lambda at_ms: self._run_period(at_ms, first_ms))
 
     def receive_ping_request(self, now_ms: float, source: Address, request: PingRequest) -> None:
-        """Probe a member on another's behalf."""
+        """Probe a member on behalf of another one."""
         state = self._state
         member = state.members.get(request.member)
-        for_others = sum(1 for probe in self._pending.values() if probe.requester)
-        if member is None or for_others >= MAX_PROBES_FOR_OTHERS:
+        probes_for_others = sum(1 for probe in self._pending.values() if probe.requester)
+        if member is None or probes_for_others >= MAX_PROBES_FOR_OTHERS:
             return
         nonce = self._send_ping(member, ProbeRequester(source, request.nonce))
 
@@ -78,7 +78,7 @@
         state.timers.set(now_ms + NACK_TIMEOUT_SHARE * state.settings.timeout_ms, report_no_answer)
 
     def receive_ack(self, source: Address, sender: int, nonce: int) -> None:
-        """Take an answer, from the probed member itself or from a helper."""
+        """Process an ack from the probed member itself or from a helper."""
         probe = self._pending.get(nonce)
         if probe is None or not (sender == probe.member or source in probe.helpers):
             return
@@ -93,7 +93,7 @@
             member.is_verified = True
 
     def receive_nack(self, source: Address, nonce: int) -> None:
-        """Note that a helper has no answer either."""
+        """Record that a helper got no answer from the probed member either."""
         probe = self._pending.get(nonce)
         if probe is not None and source in probe.helpers:
             probe.nacks += 1
@@ -108,16 +108,16 @@
             self._probe(now_ms, target)
         if self._periods % RECONNECT_PERIODS == 0:
             self._reconnect()
-        # All instances of a fleet that has just started know only the seeds, and all would probe those.
+        # All instances of a fleet that has just started know only the seeds, and all would probe these.
         few_members_factor = max(1.0, ENOUGH_MEMBERS / (len(state.members) + 1))
         period_ms = state.settings.period_ms * state.health.timeout_factor * few_members_factor
         next_ms = now_ms + period_ms * state.random.uniform(0.9, 1.1)
         state.timers.set(next_ms, lambda at_ms: self._run_period(at_ms, next_ms))
 
     def _reconnect(self) -> None:
-        """Call on a member that is taken for dead.
+        """Ping a member that is considered dead.
 
-        After a network cut both sides take each other for dead, and would otherwise never call again.
+        After a network partition both sides consider each other dead and would otherwise never reconnect.
         """
         state = self._state
         dead = [member for member in state.members if member.state is MemberState.DEAD]
@@ -134,7 +134,7 @@
         self._pending[nonce] = PendingProbe(member.number, requester)
         records: list[Record] = [Ping(nonce)]
         if member.state is not MemberState.ALIVE:
-            # Lifeguard's buddy system: a suspected member learns of it first, and can refute.
+            # Lifeguard's buddy system: a suspected member is notified with the probe, so that it can refute.
             records.append(Suspect(member.number, member.alive.incarnation, state.own.number))
         if not member.is_verified:
             records += state.own.introduction()
@@ -160,9 +160,9 @@
         )
         for helper_address in probe.helpers:
             state.send(SendPriority.PROBE, helper_address, [PingRequest(nonce, probe.member)])
-        state.timers.set(now_ms + timeout_ms, lambda at_ms: self._give_up(at_ms, nonce))
+        state.timers.set(now_ms + timeout_ms, lambda at_ms: self._fail_probe(at_ms, nonce))
 
-    def _give_up(self, now_ms: float, nonce: int) -> None:
+    def _fail_probe(self, now_ms: float, nonce: int) -> None:
         state = self._state
         probe = self._pending.pop(nonce, None)
         member = state.members.get(probe.member) if probe is not None else None
--- a/client_proxy/membership/reputation.py
+++ b/client_proxy/membership/reputation.py
@@ -1,10 +1,10 @@
-"""How far each observer is trusted, by how well its reports agreed with this instance's own observations.
+"""Trust in each observer, based on how well its reports agree with this instance's own observations.
 
-Trust is between a floor and 1. It falls when an observer reported of a server what this instance, at the same
-time and with enough attempts, did not find; it rises when both agree, and with time alone, so that nobody is
-distrusted for ever because something between it and a server was broken once. The floor is not zero for the
-same reason. An observer that signed two different reports under one number has equivocated for certain: it
-stays at the floor for long.
+Trust is between a minimum and 1. It falls when an observer's report on a server contradicts what this
+instance observed at the same time with enough attempts. It rises when both agree, and also with time, so that
+an observer is not distrusted forever after a temporary fault between it and a server. For the same reason the
+minimum is above zero. An observer that signed two different reports with the same sequence number has
+provably equivocated and stays at the minimum for a long time.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from dataclasses import dataclass
 
 MIN_TRUST, INITIAL_TRUST = 0.1, 0.6
-CONTRADICTED_FACTOR = 0.6  # what is left of the trust in an observer of the own zone,
-CONTRADICTED_ELSEWHERE_FACTOR = 0.85  # and of another zone
-CONFIRMED_GAIN = 0.15  # of what is missing to 1
-RECOVERY_MS = 120_000.0  # half of what is missing to 1 comes back in this time
-EQUIVOCATION_MS = 600_000.0
-MAX_RATED_OBSERVERS = 2048
+CONTRADICTED_FACTOR = 0.6  # factor on the trust in a contradicted observer of this instance's zone
+CONTRADICTED_OTHER_ZONE_FACTOR = 0.85  # factor on the trust in a contradicted observer of another zone
+CONFIRMED_GAIN = 0.15  # share of the difference to 1 that a confirmed observer gains
+RECOVERY_MS = 120_000.0  # ms; half-life of the difference to 1
+EQUIVOCATION_MS = 600_000.0  # ms; for this time an equivocating observer stays at the minimum
+MAX_RATED_OBSERVERS = 2048  # observers whose rating is kept; equivocating ones are counted separately
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self._ratings: OrderedDict[int, _Rating] = OrderedDict()
-        self._distrusted_until_ms: OrderedDict[int, float] = OrderedDict()  # of those who equivocated
+        self._distrusted_until_ms: OrderedDict[int, float] = OrderedDict()  # by equivocating observer
 
     def __len__(self) -> int:
         return len(self._ratings) + len(self._distrusted_until_ms)
@@ -47,33 +47,33 @@
         return 1.0 - (1.0 - rated) * remaining
 
     def confirm(self, now_ms: float, observer: int) -> None:
-        """Raise the trust in an observer whose report agrees with an own observation."""
+        """Raise the trust in an observer whose report agrees with this instance's observation."""
         trust = self.trust(now_ms, observer)
         self._rate(now_ms, observer, trust + CONFIRMED_GAIN * (1.0 - trust))
 
     def contradict(self, now_ms: float, observer: int, same_zone: bool, certainty: float = 1.0) -> None:
-        """Lower the trust in an observer whose report contradicts an own observation.
+        """Lower the trust in an observer whose report contradicts this instance's observation.
 
-        A fault between the observer's zone and the server is true for it and false here, so an observer of
-        another zone loses less.
+        An observer of another zone loses less trust, since a fault between its zone and the server may be
+        real without being observable here.
 
         Args:
-            now_ms: the time.
-            observer: its member number.
-            same_zone: whether it is in this instance's zone.
-            certainty: 1, or less where this instance made few attempts itself.
+            now_ms: the current time.
+            observer: the observer's member number.
+            same_zone: whether the observer is in this instance's zone.
+            certainty: 1, or less if this instance made only few attempts itself.
         """
-        factor = CONTRADICTED_FACTOR if same_zone else CONTRADICTED_ELSEWHERE_FACTOR
+        factor = CONTRADICTED_FACTOR if same_zone else CONTRADICTED_OTHER_ZONE_FACTOR
         remaining: float = factor**certainty
         self._rate(now_ms, observer, self.trust(now_ms, observer) * remaining)
 
     def mark_equivocation(self, now_ms: float, observer: int) -> bool:
-        """Distrust an observer that signed two different reports of one number; true if that is news."""
-        is_news = now_ms >= self._distrusted_until_ms.get(observer, float("-inf"))
+        """Distrust an observer that signed contradicting reports; returns true if it was not yet marked."""
+        is_new = now_ms >= self._distrusted_until_ms.get(observer, float("-inf"))
         self._distrusted_until_ms[observer] = now_ms + EQUIVOCATION_MS
         if len(self._distrusted_until_ms) > MAX_RATED_OBSERVERS:
             self._distrusted_until_ms.popitem(last=False)
-        return is_news
+        return is_new
 
     def _rate(self, now_ms: float, observer: int, trust: float) -> None:
         self._ratings[observer] = _Rating(now_ms, min(1.0, max(MIN_TRUST, trust)))
--- a/client_proxy/membership/settings.py
+++ b/client_proxy/membership/settings.py
@@ -1,4 +1,4 @@
-"""The settings of gossip: table `[gossip]` of the operators' TOML file (docs/operators/gossip.md)."""
+"""Gossip settings: the table `[gossip]` of the operators' TOML file (docs/operators/gossip.md)."""
 
 from __future__ import annotations
 
@@ -14,36 +14,36 @@
 
 @dataclass(frozen=True, slots=True)
 class SwimSettings:
-    """Settings of failure detection; times are in milliseconds."""
+    """Settings of membership and failure detection; fields have the names of keys of `[gossip]`."""
 
-    period_ms: float = 1000.0  # between two probes
-    timeout_ms: float = 300.0  # until helpers are asked to probe
-    helpers: int = 3
-    suspicion: float = 4.0  # shortest, in periods, times log10 of the members
-    most_members: int = 256
-    sync_ms: float = 5000.0  # between two comparisons of member tables
-    forget_ms: float = 600_000.0  # after which a dead member is forgotten
-    verify_per_s: float = 40.0  # signatures checked
+    period_ms: float = 1000.0  # interval between two probes
+    timeout_ms: float = 300.0  # time without an ack after which helpers are asked to probe
+    helpers: int = 3  # members that are asked to probe a member that does not answer
+    suspicion: float = 4.0  # shortest suspicion, in periods times log10 of the number of members
+    most_members: int = 256  # size of the member table
+    sync_ms: float = 5000.0  # interval between two comparisons of member tables
+    forget_ms: float = 600_000.0  # time after which a dead member is removed from the table
+    verify_per_s: float = 40.0  # limit of signature checks per second
 
 
 @dataclass(frozen=True, slots=True)
 class GossipSettings:
-    """The table `[gossip]`; fields have the names of its keys."""
+    """The settings in the table `[gossip]`; fields have the names of its keys."""
 
     keys: str = ""  # path of the key file
-    listen: Address = ANY_LOOPBACK_PORT
-    seeds: tuple[Address, ...] = ()
-    fanout: int = 2  # members that broadcasts are sent to at a time
-    spread_ms: float = 200.0  # between two such rounds, while there is something to broadcast
-    sends_per_s: float = 40.0
-    bytes_per_s: float = 8192.0
-    takes_per_s: float = 200.0  # datagrams examined, of all sources
-    source_per_s: float = 30.0  # of one source
+    listen: Address = ANY_LOOPBACK_PORT  # port 0 stands for any free port
+    seeds: tuple[Address, ...] = ()  # addresses of instances to contact first
+    fanout: int = 2  # members to which broadcasts are sent in each round
+    spread_ms: float = 200.0  # ms between two rounds of broadcasts
+    sends_per_s: float = 40.0  # limit of datagrams sent per second
+    bytes_per_s: float = 8192.0  # limit of bytes sent per second
+    takes_per_s: float = 200.0  # limit of datagrams processed per second, from all sources together
+    source_per_s: float = 30.0  # limit of datagrams processed per second from one source
     swim: SwimSettings = field(default_factory=SwimSettings)
 
 
 def parse_gossip_settings(table: Table) -> GossipSettings:
-    """Return the settings in the table; faults are noted there, with their keys."""
+    """Return the settings in the table; errors are added to `table` with their keys."""
     defaults = GossipSettings()
     listen = table.text("listen", "127.0.0.1:0")
     settings = GossipSettings(
@@ -59,7 +59,7 @@
         swim=_parse_swim_settings(table),
     )
     if settings.swim.timeout_ms >= settings.swim.period_ms:
-        table.fault("timeout_ms", "it is not less than period_ms")
+        table.fault("timeout_ms", "it must be less than period_ms")
     table.end()
     return settings
 
--- a/client_proxy/membership/swim.py
+++ b/client_proxy/membership/swim.py
@@ -1,19 +1,18 @@
-"""Who the members are: SWIM with Lifeguard's local health, as decisions over datagrams.
+"""Membership protocol: SWIM with Lifeguard's local health, without I/O.
 
-Sources: Das, Gupta, Motivala, "SWIM" (2002): probes in random round-robin order, probes through others,
-suspicion before death, refutation by incarnation. Dadgar, Phillips, Currey, "Lifeguard" (2018): time-outs
-that grow with an instance's doubts about itself, suspicions that end sooner the more members share them, and
-suspected members that are notified first.
+Sources: Das, Gupta, Motivala, "SWIM" (2002): probes in randomized round-robin order, indirect probes,
+suspicion before death, refutation by a higher incarnation. Dadgar, Phillips, Currey, "Lifeguard" (2018):
+timeouts that grow as an instance's own health gets worse, suspicions that end sooner the more members share
+them, and notification of suspected members with the next probe.
 
-Where it departs from them, since members may be Byzantine:
+It differs from them as follows, since members may be Byzantine:
 
-- Only a member itself can say that it is alive (`Alive` is signed), and nobody can say that another is dead:
-  each instance finds that out by a suspicion of its own that nobody refuted.
+- Only a member itself can state that it is alive (`Alive` is signed), and no member can declare another one
+  dead: each instance decides that itself, after its own suspicion was not refuted.
 - A restarted member needs no disk and no clock (`dissemination.py`).
-- What comes from an address other than the one that the member signed for is not the member's.
+- A datagram whose source address differs from the address that its sender signed is not attributed to it.
 
-This module puts the parts together: `joining`, `probing`, `member_suspicion`, `dissemination`,
-`anti_entropy`.
+This module combines the parts `joining`, `probing`, `member_suspicion`, `dissemination` and `anti_entropy`.
 """
 
 from __future__ import annotations
@@ -57,13 +56,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _Delivery:
-    """A datagram's circumstances, for the handlers of its records."""
+    """The context of a received datagram, for the handlers of its records."""
 
     now_ms: float
     source: Address
     sender: int
-    is_introduced: bool  # the sender's certificate came with it
-    is_newcomer: bool  # the sender was not in the table before
+    is_introduced: bool  # whether the datagram contains a certificate
+    is_newcomer: bool  # whether the sender was not in the member table before
 
 
 class SwimProtocol:
@@ -100,7 +99,7 @@
 
     @property
     def keyring(self) -> Keyring:
-        """The keys in use."""
+        """The keys of this instance."""
         return self._state.own.keyring
 
     @property
@@ -115,42 +114,42 @@
 
     @property
     def alive(self) -> Alive:
-        """What this instance says of itself."""
+        """This instance's own signed record."""
         return self._state.own.alive
 
     @property
     def seeds(self) -> tuple[Address, ...]:
-        """The addresses to contact first, without this instance's own."""
+        """The addresses of the seeds, without this instance's own address."""
         return self._joining.seeds
 
     @property
     def health(self) -> LocalHealth:
-        """This instance's judgement of itself."""
+        """The estimate of this instance's own health."""
         return self._state.health
 
     @property
     def members(self) -> MemberTable:
-        """The known members."""
+        """The table of known members."""
         return self._state.members
 
     @property
     def certificates(self) -> CertificateCache:
-        """The valid certificates, also of members without a place in the table."""
+        """The verified certificates, including those of members that the table has no room for."""
         return self._state.certificates
 
     @property
     def broadcasts(self) -> BroadcastQueue:
-        """What is to be attached to datagrams."""
+        """The queue of records to attach to datagrams."""
         return self._state.broadcasts
 
     @property
     def retransmit_limit(self) -> int:
-        """How often each broadcast is sent."""
+        """The number of times that each broadcast is sent."""
         return retransmit_limit(len(self._state.members))
 
     @property
     def due_ms(self) -> float:
-        """When to call `run_timers` next."""
+        """The time at which `run_timers` must be called next."""
         return self._state.timers.due_ms
 
     @property
@@ -160,21 +159,21 @@
 
     @property
     def pending_probe_count(self) -> int:
-        """The number of probes that wait for an answer."""
+        """The number of pings that wait for an ack."""
         return self._prober.pending_count
 
     def start(self, now_ms: float) -> None:
-        """Contact the seeds, and start to probe and to compare tables."""
+        """Contact the seeds, and start probing and comparing member tables."""
         self._joining.start(now_ms)
         self._prober.start(now_ms)
         self._anti_entropy.start(now_ms)
 
     def run_timers(self, now_ms: float) -> None:
-        """Do what is due."""
+        """Run the timers that are due."""
         self._state.timers.run_due(now_ms)
 
     def leave(self) -> None:
-        """Tell some members that this instance leaves, so that nobody spends probes on it."""
+        """Notify some members that this instance leaves, so that it is no longer probed."""
         own = self._state.own
         own.has_left = True
         own.incarnation += 1
@@ -183,32 +182,32 @@
             self._state.send(SendPriority.RESPONSE, member.alive.address, [own.alive])
 
     def random_members(self, count: int) -> list[Member]:
-        """Draw up to `count` of the present members."""
+        """Return up to `count` random present members."""
         return self._state.random_members(count)
 
     def may_verify_signature(self, now_ms: float) -> bool:
-        """Take budget for one signature to be checked; false if there is none."""
+        """Take a token from the signature verification budget; returns false if it is exhausted."""
         return self._dissemination.may_verify_signature(now_ms)
 
     def suspicion_ms(self, accusers: int) -> float:
-        """Return how long a suspicion lasts that so many members share."""
+        """Return how many ms a suspicion lasts that this number of members share."""
         return self._suspicion.duration_ms(accusers)
 
     def replace_keys(self, keyring: Keyring) -> None:
-        """Use other keys; members whose authority is retired are no longer known."""
+        """Replace the keys, and remove members whose certificate's authority is no longer valid."""
         self._dissemination.replace_keys(keyring)
 
     def take_state_changes(self) -> list[str]:
-        """Return the members' changes of state to log since the last call."""
+        """Return log lines of the members' state changes since the last call."""
         changes, self._state.state_changes = self._state.state_changes, []
         return changes
 
     def receive(self, now_ms: float, source: Address, datagram: Datagram) -> list[ObservationReport]:
-        """Take a datagram whose MAC is valid.
+        """Process a datagram with a valid MAC.
 
         Returns:
-            Its reports on servers. Their observers signed them, so it does not matter who sent them; the
-            signatures are the caller's to check.
+            The reports on servers in the datagram. Any member may forward them; the caller must check their
+            observers' signatures.
         """
         header, records = datagram.header, datagram.records
         if header.sender == self.own_number:
@@ -218,7 +217,7 @@
         reports = [record for record in records if isinstance(record, ObservationReport)]
         member = self.members.get(header.sender)
         if member is None or member.alive.address != source:
-            self._dissemination.answer_stranger(now_ms, source, header.sender, records)
+            self._dissemination.answer_unknown_sender(now_ms, source, header.sender, records)
             return reports
         if header.incarnation != member.alive.incarnation:
             self._correct_incarnation(now_ms, source, member, header.incarnation)
@@ -242,7 +241,7 @@
                 self._dissemination.receive_alive(now_ms, source, record)
 
     def _correct_incarnation(self, now_ms: float, source: Address, member: Member, incarnation: int) -> None:
-        """Answer a member whose datagram is of another incarnation than the one known here."""
+        """Answer a member whose datagram has another incarnation than the known one."""
         if self._state.introductions.take(now_ms, source):
             is_behind = incarnation < member.alive.incarnation
             answer: Record = member.alive if is_behind else MemberRequest((member.number,))
--- a/client_proxy/membership/swim_state.py
+++ b/client_proxy/membership/swim_state.py
@@ -1,4 +1,4 @@
-"""What the parts of the SWIM protocol share: the own record, the member table, timers and queues."""
+"""State shared by the parts of the SWIM protocol: own record, member table, timers and queues."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from client_proxy.membership.settings import SwimSettings
 from client_proxy.membership.timers import TimerQueue
 
-MAX_STATE_CHANGES = 64  # kept for the log
-INTRODUCTIONS_PER_S, INTRODUCTION_BURST = 1.0, 2.0  # answers to one address that is not known
-MAX_INTRODUCED_SOURCES = 1024
+MAX_STATE_CHANGES = 64  # state changes kept until they are logged; further ones are not logged
+INTRODUCTIONS_PER_S, INTRODUCTION_BURST = 1.0, 2.0  # limit of introductions sent to one source address
+MAX_INTRODUCED_SOURCES = 1024  # source addresses for which this limit is tracked
 
 SendRecords = Callable[[SendPriority, Address, Sequence[Record]], None]
 """Queues records to be sent to an address."""
 
 
 class OwnRecord:
-    """What this instance says of itself, signed; its incarnation only rises."""
+    """This instance's own signed record; its incarnation only increases."""
 
     def __init__(self, keyring: Keyring, address: Address, boot_id: int) -> None:
         self.keyring, self.address = keyring, address
@@ -40,13 +40,13 @@
         return self.keyring.certificate.member
 
     def sign(self) -> None:
-        """Sign the record anew, after a change of what it says or of the keys."""
+        """Sign the record again, after a change of its fields or of the keys."""
         fields = (self.number, self.incarnation, self.boot_id, *self.address, self.has_left)
         unsigned = Alive(*fields, b"")
         self.alive = Alive(*fields, self.keyring.signer.sign(unsigned.signed_bytes))
 
     def introduction(self) -> list[Record]:
-        """Return the records that introduce this instance to somebody who does not know it."""
+        """Return the records that introduce this instance to a member that doesn't know it."""
         return [self.keyring.certificate, self.alive]
 
 
@@ -68,24 +68,24 @@
             INTRODUCTIONS_PER_S, INTRODUCTION_BURST, MAX_INTRODUCED_SOURCES
         )
         self.state_changes: list[str] = []
-        self.table_differs = False  # from the last member's whose table was compared
+        self.table_differs = False  # whether anti-entropy found a difference since its last round
 
     def new_nonce(self) -> int:
-        """Draw a number at random."""
+        """Return a random 32-bit number."""
         return self.random.randrange(MAX_U32 + 1)
 
     def random_members(self, count: int, *excluded: int) -> list[Member]:
-        """Draw up to `count` of the present members, without the excluded numbers."""
+        """Return up to `count` random present members, without those of the excluded numbers."""
         candidates = [member for member in self.members.present() if member.number not in excluded]
         return self.random.sample(candidates, min(count, len(candidates)))
 
-    def note_state(self, member: Member) -> None:
-        """Note a member's new state for the log."""
+    def record_state_change(self, member: Member) -> None:
+        """Add a log line with a member's new state."""
         if len(self.state_changes) < MAX_STATE_CHANGES:
             self.state_changes.append(f"instance {member.number} is {member.state.value}")
 
     def clear_suspicion(self, member: Member) -> None:
-        """Forget who suspects a member, and stop broadcasting it."""
+        """Remove a member's accusers, and stop broadcasting their suspicions."""
         for accuser in member.suspected_by:
             self.broadcasts.discard(Topic(Suspect, member.number, accuser))
         member.suspected_by = set()
--- a/client_proxy/membership/timers.py
+++ b/client_proxy/membership/timers.py
@@ -1,4 +1,4 @@
-"""Timers on a clock that the caller reads: what is due is run when the caller says what time it is."""
+"""Timer queue without a clock: the caller passes the current time, and timers that are due are run."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 @dataclass(frozen=True, slots=True, order=True)
 class _Timer:
     due_ms: float
-    number: int  # timers that are due at the same time run in the order in which they were set
+    number: int  # makes timers that are due at the same time run in the order in which they were set
     action: TimerAction = field(compare=False)
 
 
 class TimerQueue:
-    """Timers by the time at which they are due."""
+    """Timers in the order of their due times."""
 
     def __init__(self) -> None:
         self._timers: list[_Timer] = []
@@ -29,15 +29,15 @@
 
     @property
     def due_ms(self) -> float:
-        """When the next timer is due; infinite if there is none."""
+        """The time at which the next timer is due; infinite if there is none."""
         return self._timers[0].due_ms if self._timers else float("inf")
 
     def set(self, due_ms: float, action: TimerAction) -> None:
-        """Run `action` at a time."""
+        """Set a timer that runs `action` at `due_ms`."""
         self._set_count += 1
         heapq.heappush(self._timers, _Timer(due_ms, self._set_count, action))
 
     def run_due(self, now_ms: float) -> None:
-        """Run all timers that are due, also those that these set."""
+        """Run all timers that are due, including those that these timers set."""
         while self._timers and self._timers[0].due_ms <= now_ms:
             heapq.heappop(self._timers).action(now_ms)
