--- a/client_proxy/membership/settings.py
+++ b/client_proxy/membership/settings.py
@@ -59,7 +59,7 @@
         swim=_parse_swim_settings(table),
     )
     if settings.swim.timeout_ms >= settings.swim.period_ms:
-        table.fault("timeout_ms", "it must be less than period_ms")
+        table.fault("timeout_ms", "it is not less than period_ms")
     table.end()
     return settings
 
--- a/tests/membership/clusters.py
+++ b/tests/membership/clusters.py
@@ -1,4 +1,4 @@
-"""Simulated clusters for the tests of gossip."""
+"""Simulated clusters for the gossip tests."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from client_proxy.membership.swim import SwimProtocol
 
 
-def start_cluster(instances: int = 8, **given: object) -> SimulatedCluster:
-    cluster = SimulatedCluster(instances, gossip=QUICK, **given)  # type: ignore[arg-type]
+def start_cluster(instances: int = 8, **options: object) -> SimulatedCluster:
+    cluster = SimulatedCluster(instances, gossip=QUICK, **options)  # type: ignore[arg-type]
     cluster.start()
     return cluster
 
 
 def states_of(cluster: SimulatedCluster, number: int) -> list[str]:
-    """What the others take that instance for."""
+    """Return the member states in which the other running instances see an instance."""
     states = []
     for instance in cluster.instances:
         if instance.number != number and instance.is_up and instance.node is not None:
@@ -31,8 +31,8 @@
 
 
 def lost_share(cluster: SimulatedCluster, from_ms: float, until_ms: float) -> float:
-    lost, whole = cluster.lost_weight(from_ms, until_ms)
-    return lost / whole
+    lost_weight, total_weight = cluster.lost_weight(from_ms, until_ms)
+    return lost_weight / total_weight
 
 
 def start_faulty_cluster(
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of membership."""
+"""Fixtures of the membership tests."""
 
 from __future__ import annotations
 
@@ -10,5 +10,5 @@
 
 @pytest.fixture
 def suspicions() -> ServerSuspicions:
-    """Suspicions that know a fleet of nine ready servers, and nothing of them."""
+    """Suspicions that know nine ready servers, without any observation or report."""
     return make_suspicions()
--- a/tests/membership/daemons.py
+++ b/tests/membership/daemons.py
@@ -28,7 +28,7 @@
 
 
 class DaemonFleet:
-    """Daemons with gossip between the same hosts."""
+    """Daemons that gossip with each other and send requests to the same hosts."""
 
     def __init__(self, size: int, hosts: list[Host], reporters: dict[int, Any] | None = None) -> None:
         self.size, self.hosts, self.reporters = size, hosts, reporters or {}
@@ -88,7 +88,7 @@
         return self.gossip(number).balancer_hook.score_factor(now_ms(), host.name, UNSAFE_CLASS)
 
     def reported_failure_share(self, number: int, host: Host) -> float:
-        """The share of attempts that the host fails, as that daemon estimates from reports alone."""
+        """Return the failure share of a host that a daemon estimates from other daemons' reports alone."""
         observations, cls = self.gossip(number).balancer_hook.observations, class_tag(UNSAFE_CLASS)
         return observations.estimate(
             now_ms(), name_tag(host.name), cls, AttemptCounts(), len(self.hosts)
@@ -99,7 +99,7 @@
         await until(lambda: all(len(node.swim.members) == self.size - 1 for node in nodes))
 
     async def keep_requesting(self, number: int) -> None:
-        """One client's requests, one after the other, until it is called off."""
+        """Send requests of one client to a daemon, one after the other, until the task is cancelled."""
         client = await Client.connect(self.ports[number])
         try:
             while True:
--- a/tests/membership/suspicions_driver.py
+++ b/tests/membership/suspicions_driver.py
@@ -1,4 +1,4 @@
-"""What tests of suspicions of servers share: a fleet, its reports and own observations."""
+"""Helpers for the tests of server suspicions: a fleet, reports on it, and own observations."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
     suspicions: ServerSuspicions,
     now_ms: float,
     observer: int,
-    *seen: ServerObservation,
+    *observations: ServerObservation,
     zone: int = OWN_ZONE,
     sequence: int = 1,
 ) -> None:
-    suspicions.receive_report(now_ms, ObservationReport(observer, 1, sequence, seen, b""), zone)
+    suspicions.receive_report(now_ms, ObservationReport(observer, 1, sequence, observations, b""), zone)
 
 
 def observe(
--- a/tests/membership/test_broadcast_queue.py
+++ b/tests/membership/test_broadcast_queue.py
@@ -1,4 +1,4 @@
-"""The transmit-limited queue of broadcasts."""
+"""Tests of the transmit-limited queue of broadcasts."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_budget.py
+++ b/tests/membership/test_budget.py
@@ -1,4 +1,4 @@
-"""Budgets of what is received and sent."""
+"""Tests of the rate limits by source and of the send queue."""
 
 from __future__ import annotations
 
@@ -28,4 +28,4 @@
     taken = []
     while queue.peek() is not None:
         taken.append(queue.pop())
-    assert taken == ["a", "n", "r2"]  # the older repair went
+    assert taken == ["a", "n", "r2"]  # the older anti-entropy item was dropped
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec: what is written is read back, and anything else ends in one kind of error."""
+"""Tests of the codec: encoded records are decoded unchanged, and invalid bytes raise `WireError`."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 u8, u16, u32 = (st.integers(0, 2**bits - 1) for bits in (8, 16, 32))
 hosts = st.one_of(
     st.ip_addresses(v=4).map(str),
-    # An IPv4 address in IPv6's clothes is read back as the IPv4 address that it is.
+    # An IPv4-mapped IPv6 address is decoded as its IPv4 address.
     st.ip_addresses(v=6).filter(lambda a: getattr(a, "ipv4_mapped", None) is None).map(str),
 )
 
@@ -180,7 +180,7 @@
 
 
 def test_too_long_datagram_is_not_encoded() -> None:
-    with pytest.raises(ValueError, match="a datagram of 257 bytes"):
+    with pytest.raises(ValueError, match="the datagram is 257 bytes long"):
         encode(Header(1, 1, 1, 1), [b"x" * (MAX_BODY_BYTES + 1)], KEYS[1])
 
 
--- a/tests/membership/test_evidence.py
+++ b/tests/membership/test_evidence.py
@@ -1,4 +1,4 @@
-"""What an instance observed itself: what counts, what it reports, and the bounds."""
+"""Tests of an instance's own observations: which attempts count, what is reported, and the bounds."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
         observe(suspicions, 100.0, "s1", Outcome.RESET)
         observe(suspicions, 100.0, "s2", Outcome.OK)
         observe(suspicions, 100.0, "s3", Outcome.OK)
-    assert [s.server_tag for s in suspicions.current_observations(200.0)] == [name_tag("s1")]
+    assert [report.server_tag for report in suspicions.current_observations(200.0)] == [name_tag("s1")]
     deliver_report(suspicions, 200.0, 9, observation("s2"))
-    reports = {s.server_tag: s for s in suspicions.current_observations(300.0)}
+    reports = {report.server_tag: report for report in suspicions.current_observations(300.0)}
     assert set(reports) == {name_tag("s1"), name_tag("s2")}
     assert (
         reports[name_tag("s1")].attempts,
@@ -39,7 +39,7 @@
         observe(suspicions, 100.0, "s0", Outcome.OK, SAFE)
         observe(suspicions, 100.0, "s0", Outcome.TIMEOUT, UNSAFE)
         observe(suspicions, 100.0, "s1", Outcome.OK, SAFE)
-    reports = {s.class_tag: s for s in suspicions.current_observations(200.0)}
+    reports = {report.class_tag: report for report in suspicions.current_observations(200.0)}
     assert reports[class_tag("unsafe")].unanswered == 4
     assert reports[class_tag("safe")].unanswered == 0
 
@@ -60,11 +60,11 @@
 
 
 def test_observed_servers_and_attempts_are_bounded() -> None:
-    own = LocalObservations()
+    local = LocalObservations()
     for sequence in range(5000):
         for _ in range(2):
-            own.record(float(sequence), f"x{sequence}", "safe", Outcome.OK, 1.0)
-    assert len(own) == MAX_SERVERS
+            local.record(float(sequence), f"x{sequence}", "safe", Outcome.OK, 1.0)
+    assert len(local) == MAX_SERVERS
     for sequence in range(200):
-        own.record(float(sequence), "y", "safe", Outcome.OK, 1.0)
-    assert own.recent_counts(199.0, "y", 1e9).attempts == ATTEMPTS_PER_SERVER
+        local.record(float(sequence), "y", "safe", Outcome.OK, 1.0)
+    assert local.recent_counts(199.0, "y", 1e9).attempts == ATTEMPTS_PER_SERVER
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -1,4 +1,4 @@
-"""Real daemons that gossip over UDP: faults, floods, and keys that are reloaded."""
+"""Tests of real daemons that gossip over UDP: faulty servers, floods, and reloaded keys."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         async with DaemonFleet(20, hosts, {reporter_number: AccusesFirst}) as fleet:
             await fleet.wait_until_joined()
             fleet.gossip(isolated).close()
-            # The Byzantine reporter accuses the first host from now on, without a request of its own.
+            # The Byzantine reporter accuses the first host from now on, without requests of its own.
             tasks = [asyncio.create_task(fleet.keep_requesting(number)) for number in busy]
             try:
                 await until(lambda: all(fleet.score_factor(n, faulty) < DEPRIORITIZED_BELOW for n in quiet))
@@ -46,20 +46,19 @@
                 for task in tasks:
                     task.cancel()
                 await asyncio.gather(*tasks, return_exceptions=True)
-            assert (
-                fleet.score_factor(isolated, faulty) == 1.0
-            )  # an instance without gossip knows nothing before its first request
-            # By reported failures; on a busy machine a healthy host may well look slow.
+            # An instance without gossip knows nothing before its first request.
+            assert fleet.score_factor(isolated, faulty) == 1.0
+            # This compares reported failures only, since a healthy host may look slow on a busy machine.
             reported = {
                 host.name: max(fleet.reported_failure_share(n, host) for n in quiet) for host in hosts
             }
-            assert max(bad for name, bad in reported.items() if name != faulty.name) < 0.35, reported
+            assert max(share for name, share in reported.items() if name != faulty.name) < 0.35, reported
             latest = fleet.gossip(8).balancer_hook.observations.newest(reporter_number + 1)
             assert latest is not None
             assert latest.accused_servers == 1
-            # Nothing is removed: instances without requests so far use every other host. The faulty one is
-            # picked less often; how much less is measured in simulated clusters, where no busy machine makes
-            # a healthy host look slow.
+            # No host is removed: instances without requests so far use all healthy hosts. The faulty host is
+            # picked less often; by how much is tested in simulated clusters, where the machine's load doesn't
+            # make healthy hosts look slow.
             before = {host.name: len(host.got) for host in hosts}
             served = 0
             for _ in range(4):
@@ -74,28 +73,28 @@
     run(test())
 
 
-def test_flood_stops_no_request_and_is_mostly_not_read() -> None:
+def test_flood_does_not_stop_requests_and_is_mostly_not_read() -> None:
     async def test() -> None:
         hosts = [Host("a"), Host("b")]
         async with DaemonFleet(2, hosts) as fleet:
             await fleet.wait_until_joined()
             node = fleet.gossip(0).node
             address = fleet.gossip(0).port.address
-            began = now_ms()
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+            started_ms = now_ms()
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as attacker:
                 client = await Client.connect(fleet.ports[0])
                 for number in range(60):
                     for _ in range(200):
-                        stranger.sendto(b"\x01\x01" + os.urandom(200), address)
+                        attacker.sendto(b"\x01\x01" + os.urandom(200), address)
                     status, _, _ = await client.ask(KEYED_CLASS, key=f"k{number}")
                     assert status == 200
                 client.close()
             counters = node.counters
-            seen = counters.accepted + counters.over_budget + counters.unreadable
-            # What was looked at keeps to the budget, whatever was sent.
-            allowed = FAST.takes_per_s * (0.5 + (now_ms() - began) / 1000.0) + 64
+            read_count = counters.accepted + counters.over_budget + counters.unreadable
+            # The number of examined datagrams is within the budget, however many were sent.
+            allowed = FAST.takes_per_s * (0.5 + (now_ms() - started_ms) / 1000.0) + 64
             assert counters.accepted + counters.unreadable <= allowed
-            assert seen < 12_000
+            assert read_count < 12_000
             assert node.queued_count < 128
             await fleet.wait_until_joined()
 
@@ -103,11 +102,13 @@
 
 
 def write_keys(path: Path, group: int = 1, member: int = 1) -> None:
-    authority, own = Ed25519(b"a" * 32), b"o" * 32
-    card = issue_certificate(authority, 1, member, ZONES[0], 1, Ed25519(own).public_key)
+    authority, member_secret = Ed25519(b"a" * 32), b"o" * 32
+    certificate = issue_certificate(authority, 1, member, ZONES[0], 1, Ed25519(member_secret).public_key)
     path.unlink(missing_ok=True)
     groups = {group: bytes([group]) * 32}
-    write_private_file(path, format_keyring(card, ZONES[0], own, groups, {1: authority.public_key}))
+    write_private_file(
+        path, format_keyring(certificate, ZONES[0], member_secret, groups, {1: authority.public_key})
+    )
 
 
 def test_keys_are_reloaded_and_a_bad_file_changes_nothing(
--- a/tests/membership/test_keys.py
+++ b/tests/membership/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys: the file's mode and faults, cards, and the change of keys."""
+"""Tests of key files, certificates, signatures and key rotation."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 def keyring_text(
     member: int = 7, authorities: dict[int, bytes] | None = None, groups: dict[int, bytes] | None = None
 ) -> str:
-    card = issue_certificate(AUTHORITY, 1, member, "mladost", 3, OWN.public_key)
+    certificate = issue_certificate(AUTHORITY, 1, member, "mladost", 3, OWN.public_key)
     return format_keyring(
-        card, "mladost", SECRET, groups or {4: b"g" * 32}, authorities or {1: AUTHORITY.public_key}
+        certificate, "mladost", SECRET, groups or {4: b"g" * 32}, authorities or {1: AUTHORITY.public_key}
     )
 
 
@@ -76,7 +76,7 @@
     forged = issue_certificate(other_key, 1, 8, "mladost", 1, other_key.public_key)
     assert keyring.trusts(keyring.certificate)
     assert not keyring.trusts(forged)
-    # A certificate whose zone was changed after it was signed.
+    # The zone of this certificate was changed after it was signed.
     certificate = issue_certificate(AUTHORITY, 1, 8, "mladost", 1, other_key.public_key)
     changed = type(certificate)(8, certificate.zone ^ 1, 1, 1, certificate.public_key, certificate.signature)
     assert keyring.trusts(certificate)
@@ -127,15 +127,15 @@
     code, output = run("show", files["own"])
     assert code == 0
     assert "instance 7, epoch 1, signed by authority 1" in output
-    # The change of both keys: what is new stands beside what is old.
-    renewed = ("--authority", files["a2"], "--authority", files["a1"], "--group", files["g2"])
-    assert run(*arguments, *renewed, "--epoch", "2", "--out", files["next"])[0] == 0
+    # Both keys are rotated: the new file contains the new keys in addition to the old ones.
+    new_keys = ("--authority", files["a2"], "--authority", files["a1"], "--group", files["g2"])
+    assert run(*arguments, *new_keys, "--epoch", "2", "--out", files["next"])[0] == 0
     old, new = load_keyring(files["own"]), load_keyring(files["next"])
     assert new.trusts(old.certificate)
     assert not old.trusts(new.certificate)
     assert list(new.group_keys) == [1, 2]
     assert set(new.authority_keys) == {1, 2}
-    # Nothing is written over, and a file that others may read is not used.
+    # An existing file is not overwritten, and a key file that others may read is rejected.
     assert run(*arguments, "--authority", files["a1"], "--out", files["own"])[0] == 1
     os.chmod(files["a1"], 0o644)
     code, output = run(*arguments, "--authority", files["a1"], "--out", str(tmp_path / "no"))
--- a/tests/membership/test_node.py
+++ b/tests/membership/test_node.py
@@ -1,4 +1,4 @@
-"""Observations of servers in simulated clusters, Byzantine reporters, floods and replays."""
+"""Tests of server observations in simulated clusters, with Byzantine reporters, floods and replays."""
 
 from __future__ import annotations
 
@@ -26,8 +26,11 @@
     for cluster in (with_gossip, without_gossip):
         cluster.run(32_000.0)
     assert with_gossip.deprioritizing_share("mladost-4") > 0.9
-    lost, alone = lost_share(with_gossip, 12_000.0, 30_000.0), lost_share(without_gossip, 12_000.0, 30_000.0)
-    assert 0 < lost < 0.6 * alone
+    lost, lost_without_gossip = (
+        lost_share(with_gossip, 12_000.0, 30_000.0),
+        lost_share(without_gossip, 12_000.0, 30_000.0),
+    )
+    assert 0 < lost < 0.6 * lost_without_gossip
 
 
 @pytest.mark.parametrize("reporter", [AccusesAll, AccusesFirst, AccusesTwo, Equivocates, PraisesAll])
@@ -63,7 +66,7 @@
     for at_ms in range(5_000, 40_000, 500):
         cluster.run(float(at_ms))
         shares.append(cluster.deprioritizing_share(victim, excluded=[3, 9, 15]))
-    # Two of the others do not use that server at all (each uses six of nine) and cannot learn better.
+    # Two of the other instances do not use the server (each uses six of nine) and cannot refute the reports.
     assert max(shares) > 0.5
     assert sum(shares[-30:]) / 30 < 0.15
     assert lost_share(cluster, 3_000.0, 38_000.0) == 0.0
@@ -84,14 +87,16 @@
     cluster.schedule_traffic(60.0, 3_000.0, 30_000.0)
     server = cluster.servers["lyulin-2"]
     cluster.call_at(10_000.0, lambda: server.unreachable_from.add("mladost"))
-    there: list[float] = []
-    elsewhere: list[float] = []
+    in_zone: list[float] = []
+    in_other_zones: list[float] = []
     for at_ms in range(13_000, 24_000, 500):
         cluster.run(float(at_ms))
         for instance in cluster.instances:
-            (there if instance.zone == "mladost" else elsewhere).append(instance.score_factor("lyulin-2"))
-    assert sum(there) / len(there) < 0.95
-    assert sum(elsewhere) / len(elsewhere) > 0.98
+            (in_zone if instance.zone == "mladost" else in_other_zones).append(
+                instance.score_factor("lyulin-2")
+            )
+    assert sum(in_zone) / len(in_zone) < 0.95
+    assert sum(in_other_zones) / len(in_other_zones) > 0.98
     for number, instance in enumerate(cluster.instances):
         own = [
             request
@@ -170,7 +175,7 @@
     group = node.swim.keyring.group_keys[1]
     verified, accepted = node.counters.verified, node.counters.accepted
     now = instance.now_ms()
-    for number in range(50_000):  # a second of it
+    for number in range(50_000):  # one second of the flood
         data = bytes([1, 1]) + number.to_bytes(4, "big") * 20 if number % 2 else b"\x01" * 200
         node.receive(now + number / 50.0, data, (f"10.9.{number % 250}.1", number % 60_000))
     counters = node.counters
@@ -179,7 +184,7 @@
     assert counters.over_budget + counters.unreadable == 50_000
     assert counters.over_budget > 49_000
     assert node.read_pause_ms(now + 1000.0) > 0
-    # The same from a member that holds the keys, for its own address alone.
+    # A flood by a member with valid keys is limited by the budget of its source address.
     for number in range(5_000):
         data = encode(Header(1, 2, 1, 10**6 + number), [pack_record(Ping(number))], group)
         node.receive(now + 2000.0 + number / 50.0, data, cluster.address(1))
@@ -224,7 +229,7 @@
 
 
 def test_same_seed_gives_the_same_run() -> None:
-    def once() -> tuple[int, int, list[str]]:
+    def run_once() -> tuple[int, int, list[str]]:
         cluster = start_faulty_cluster(True)
         cluster.run(14_000.0)
         return (
@@ -233,7 +238,7 @@
             [request.outcome.value for request in cluster.requests.values()],
         )
 
-    assert once() == once()
+    assert run_once() == run_once()
 
 
 def test_ed25519_signatures_in_a_small_cluster() -> None:
@@ -245,7 +250,7 @@
     assert not unknown_pairs(cluster)
     verified = [instance.node.counters for instance in cluster.instances if instance.node is not None]
     assert all(counters.verified and not counters.bad_signatures for counters in verified)
-    # A report that another member signed in its name is rejected.
+    # A report with another observer number than the signer's is rejected.
     node = cluster.instances[0].node
     assert node is not None
     observer = cluster.instances[1].node
--- a/tests/membership/test_replay.py
+++ b/tests/membership/test_replay.py
@@ -1,4 +1,4 @@
-"""The window against replayed datagrams."""
+"""Tests of the anti-replay window."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_reputation.py
+++ b/tests/membership/test_reputation.py
@@ -1,4 +1,4 @@
-"""The trust in observers: how it falls, recovers, and how many are remembered."""
+"""Tests of the trust in observers: how it falls and recovers, and the bound on rated observers."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -1,4 +1,4 @@
-"""The operators' table `[gossip]`."""
+"""Tests of the operators' table `[gossip]`."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_suspicions.py
+++ b/tests/membership/test_suspicions.py
@@ -1,4 +1,4 @@
-"""From reports to a score factor: each bound by itself. No I/O; the time is an argument."""
+"""Tests of the score factors that follow from reports, one for each bound; without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 def test_own_failure_confirms_reports() -> None:
-    # Two accusers by themselves, and with one own failure.
+    # The same two accusers, without and with a failed attempt by this instance.
     unconfirmed, confirmed = make_suspicions(), make_suspicions()
     for suspicions in (unconfirmed, confirmed):
         deliver_report(suspicions, 0.0, 1, observation("s0"))
@@ -79,7 +79,7 @@
         deliver_report(own_zone, 0.0, observer, observation("s0"), zone=OWN_ZONE)
         deliver_report(other_zone, 0.0, observer, observation("s0"), zone=OTHER_ZONE)
     for observer in range(30, 35):
-        # Some observers of the own zone find it healthy.
+        # Some observers in the own zone report the server as healthy.
         deliver_report(own_zone, 0.0, observer, observation("s0", failed=0), zone=OWN_ZONE)
         deliver_report(other_zone, 0.0, observer, observation("s0", failed=0), zone=OWN_ZONE)
     assert score_factor(own_zone, 10.0) < score_factor(other_zone, 10.0)
@@ -146,7 +146,7 @@
         deliver_report(suspicions, 0.0, observer, observation("s0"))
     before = score_factor(suspicions, 10.0)
     now_ms = FRESH_MS
-    while now_ms < FRESH_MS + 4000.0:  # without any report
+    while now_ms < FRESH_MS + 4000.0:  # no reports arrive in this time
         now_ms += 200.0
         factor = score_factor(suspicions, now_ms)
     assert before < factor < DEPRIORITIZED_BELOW
@@ -171,7 +171,7 @@
             observe(suspicions, now_ms + 5.0, "s0", Outcome.RESET, KEYED)
     assert 2 <= len(probed_ms) <= 10
     gaps = [later - sooner for sooner, later in pairwise(probed_ms)]
-    assert gaps[-1] > gaps[0]  # the longer it fails, the rarer
+    assert gaps[-1] > gaps[0]  # probes become rarer the longer the server fails
 
 
 def test_served_recovery_probes_restore_the_server(suspicions: ServerSuspicions) -> None:
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -1,4 +1,4 @@
-"""Membership in simulated clusters: each hard case is caused, and what must hold is checked."""
+"""Tests of membership in simulated clusters under faults."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     cluster = start_cluster(12)
     cluster.run(12_000.0)
     cluster.kill(5)
-    # Every instance probes each member once in eleven periods at the latest, and then suspects it for at most
-    # six times the shortest suspicion.
+    # Each instance probes each member at least once in eleven periods, and then suspects it for at most six
+    # times the shortest duration of a suspicion.
     cluster.run(12_000.0 + 11 * 550.0 + swim_of(cluster, 0).suspicion_ms(1) + 3000.0)
     assert set(states_of(cluster, 5)) == {"dead"}
     for number in (0, 1, 2, 3, 4, 6, 7):
@@ -42,7 +42,7 @@
     assert set(states_of(cluster, 3)) == {"left"}
 
 
-def test_restart_without_memory_goes_above_its_old_incarnation() -> None:
+def test_restart_without_stored_state_raises_the_incarnation() -> None:
     cluster = start_cluster(8)
     cluster.run(10_000.0)
     for _ in range(3):
@@ -69,13 +69,13 @@
     half = set(range(6))
     cluster.partition([half])
     cluster.run(60_000.0)
-    assert set(states_of(cluster, 0)[5:]) == {"dead"}  # as the other half sees it
+    assert set(states_of(cluster, 0)[5:]) == {"dead"}  # the states in which the other half sees instance 0
     cluster.partition([])
     cluster.run(100_000.0)
     assert not unknown_pairs(cluster)
 
 
-def test_loss_duplication_and_delay_let_nobody_be_declared_dead() -> None:
+def test_loss_duplication_and_delay_cause_no_declaration_of_death() -> None:
     cluster = start_cluster(
         10, network=NetworkConditions(loss=0.3, duplication=0.3, delay_ms=(0.2, 60.0), late_share=0.05)
     )
@@ -84,7 +84,7 @@
         assert set(states_of(cluster, number)) <= {"alive", "suspect"}
 
 
-def test_blocked_instance_doubts_its_own_health_before_others() -> None:
+def test_blocked_instance_degrades_its_own_health_instead_of_accusing_others() -> None:
     cluster = start_cluster(8)
     cluster.schedule_traffic(60.0, 8_000.0, 20_000.0)
     cluster.run(10_000.0)
@@ -102,7 +102,7 @@
 
 def test_invented_accusation_is_refuted_by_its_victim() -> None:
     class Accuser(GossipNode):
-        """Says that instance 1 is dead, in the name of everybody."""
+        """Broadcasts suspicions of instance 1 in the names of all other instances."""
 
         def wake(self, now_ms: float) -> None:
             from client_proxy.membership.messages import Suspect
@@ -118,7 +118,7 @@
     for _ in range(60):
         cluster.run(cluster.now_ms + 1000.0)
         assert "dead" not in states_of(cluster, 0)[:4]
-    # However often it is accused, it signs no more often than is allowed.
+    # The rate of refutations is limited, however often the instance is accused.
     assert 5 < swim_of(cluster, 0).incarnation < 140
 
 
@@ -144,21 +144,21 @@
     def replace_group_keys(groups: dict[int, bytes]) -> None:
         for instance in cluster.instances:
             assert instance.node is not None
-            ring = instance.node.swim.keyring
+            keyring = instance.node.swim.keyring
             instance.node.replace_keys(
-                Keyring(ring.certificate, ring.signer, groups, ring.authority_keys, ring.verify)
+                Keyring(keyring.certificate, keyring.signer, groups, keyring.authority_keys, keyring.verify)
             )
-            cluster.run(cluster.now_ms + 1000.0)  # one after the other, as operators do
+            cluster.run(cluster.now_ms + 1000.0)  # the keys are replaced on one instance after the other
 
     for groups in ({**old, **new}, {**new, **old}, new):
         replace_group_keys(groups)
         for number in range(6):
             assert "dead" not in states_of(cluster, number)
-    unread = [
+    unreadable_counts = [
         instance.node.counters.unreadable for instance in cluster.instances if instance.node is not None
     ]
-    assert not any(unread)
-    # A stranger with the retired key is rejected.
+    assert not any(unreadable_counts)
+    # A datagram under the retired group key is rejected.
     node = cluster.instances[0].node
     assert node is not None
     data = encode(Header(1, 3, 1, 10**6), [pack_record(Ping(1))], old[1])
@@ -173,13 +173,13 @@
     assert node is not None
     old = node.swim.keyring
     own, authority = FastSigner(b"another"), FastSigner(derive_secret(cluster.seed, "authority"))
-    card = issue_certificate(authority, 1, 3, cluster.instances[2].zone, 2, own.public_key)
-    node.replace_keys(Keyring(card, own, old.group_keys, old.authority_keys, old.verify))
+    certificate = issue_certificate(authority, 1, 3, cluster.instances[2].zone, 2, own.public_key)
+    node.replace_keys(Keyring(certificate, own, old.group_keys, old.authority_keys, old.verify))
     cluster.run(24_000.0)
     for instance in cluster.instances:
         if instance.number != 2:
             member = swim_of(cluster, instance.number).members.get(3)
             assert member is not None
-            assert member.certificate == card
+            assert member.certificate == certificate
             assert member.alive == node.swim.alive
     assert not unknown_pairs(cluster)
