--- a/client_proxy/membership/keys.py
+++ b/client_proxy/membership/keys.py
@@ -173,9 +173,8 @@
     file = File(text, name)
     top = file.top()
     member = top.whole("member", least=0, most=MAX_U32)
-    zone = top.text(
-        "hall"
-    )  # "hall" is an older word for zone; the key is unchanged so that existing files stay valid
+    # "hall" is an older word for zone; the key is unchanged so that existing files stay valid.
+    zone = top.text("hall")
     epoch = top.whole("epoch", least=0, most=MAX_EPOCH)
     authority_number = top.whole("authority_number", least=0, most=MAX_U8)
     signature = _read_bytes(top, "signature", SIGNATURE_BYTES)
--- a/client_proxy/membership/member_suspicion.py
+++ b/client_proxy/membership/member_suspicion.py
@@ -26,7 +26,7 @@
         self._state, self._dissemination = state, dissemination
 
     def duration_ms(self, accusers: int) -> float:
-        """Return how long a suspicion lasts that this number of members share."""
+        """Return how many ms a suspicion lasts that this number of members share."""
         settings, member_count = self._state.settings, len(self._state.members)
         shortest_ms = settings.suspicion * max(1.0, log10(member_count + 1)) * settings.period_ms
         longest_ms = MAX_SUSPICION_FACTOR * shortest_ms
--- a/client_proxy/membership/node.py
+++ b/client_proxy/membership/node.py
@@ -37,8 +37,8 @@
 MIN_REPORT_INTERVAL_MS = 500.0  # ms; between two reports by this instance if its observations changed
 REPEAT_REPORT_MS = 2000.0  # ms; between two reports if its observations are unchanged
 REQUESTS_PER_S, REQUEST_BURST = 0.5, 1.0  # limit of requests for the certificate of one observer
-BURST_S = 0.5  # s; burst of each budget, as the time in which its rate yields this amount
-QUEUE_SHARE_FOR_BROADCASTS = 8  # datagrams for broadcasts alone are sent below 1/8 of the queue's bound
+BURST_S = 0.5  # s; the burst of each budget is what its rate yields in this time
+BROADCAST_QUEUE_DIVISOR = 8  # broadcasts get datagrams of their own while the send queue is below 1/8
 RESUME_READING_TOKENS = 8.0  # datagrams that the receive budget allows when reading resumes
 
 
@@ -160,10 +160,7 @@
 
     def _broadcast(self) -> None:
         """Queue datagrams for broadcasts alone, if few other datagrams are waiting."""
-        if (
-            len(self.swim.broadcasts)
-            and len(self._queue) < MAX_QUEUED_DATAGRAMS // QUEUE_SHARE_FOR_BROADCASTS
-        ):
+        if len(self.swim.broadcasts) and len(self._queue) < MAX_QUEUED_DATAGRAMS // BROADCAST_QUEUE_DIVISOR:
             for member in self.swim.random_members(self.settings.fanout):
                 self._enqueue(SendPriority.BROADCAST, member.alive.address, ())
 
--- a/client_proxy/membership/settings.py
+++ b/client_proxy/membership/settings.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SwimSettings:
-    """Settings of membership and failure detection; fields have the names of keys of `[gossip]`."""
+    """Settings of membership and failure detection, named like keys of `[gossip]`; `forget_ms` is no key."""
 
     period_ms: float = 1000.0  # interval between two probes
     timeout_ms: float = 300.0  # time without an ack after which helpers are asked to probe
--- a/client_proxy/membership/suspicions.py
+++ b/client_proxy/membership/suspicions.py
@@ -28,7 +28,7 @@
 SUSPICION_START_SHARE, FULL_SUSPICION_SHARE = 0.2, 0.5
 MAX_DEPRIORITIZED_SHARE = 1 / 3  # share of the ready servers that may be deprioritized at the same time
 DEPRIORITIZED_BELOW = 0.7  # a server with a lower score factor counts as deprioritized
-RESTORED_ABOVE = 0.9  # a deprioritized server counts as restored from this score factor on
+MIN_RESTORED_SCORE_FACTOR = 0.9  # a deprioritized server counts as restored from this score factor on
 SLOW_FACTOR = 2.5  # times the median slowness, above which reported slowness lowers the score
 REFRESH_INTERVAL_MS = 100.0  # ms; between two updates of the score factors
 SUSPICION_HALF_LIFE_MS = 20_000.0  # ms; without observations, which shorten it
@@ -229,14 +229,14 @@
             self._judge_claim(now_ms, claim, own)
 
     def _judge_claim(self, now_ms: float, claim: ServerClaim, own: AttemptCounts) -> None:
-        seen, report = claim.observation, claim.report
-        key = seen.server_tag, seen.class_tag
-        is_recent = now_ms - report.at_ms + AGE_UNIT_MS * seen.age < JUDGEMENT_WINDOW_MS
-        has_too_few_attempts = seen.attempts < MIN_REPORTED_ATTEMPTS
-        if key in report.judged_keys or seen.class_tag or not is_recent or has_too_few_attempts:
+        observation, report = claim.observation, claim.report
+        key = observation.server_tag, observation.class_tag
+        is_recent = now_ms - report.at_ms + AGE_UNIT_MS * observation.age < JUDGEMENT_WINDOW_MS
+        has_too_few_attempts = observation.attempts < MIN_REPORTED_ATTEMPTS
+        if key in report.judged_keys or observation.class_tag or not is_recent or has_too_few_attempts:
             return
         report.judged_keys.add(key)
-        gap = abs(seen.failure_share - own.failure_share)
+        gap = abs(observation.failure_share - own.failure_share)
         if gap > CONTRADICTION_GAP:
             certainty = min(1.0, own.attempts / MIN_ATTEMPTS_TO_JUDGE)
             same_zone = report.zone == self._own_zone
@@ -356,7 +356,7 @@
         deprioritized = {
             server
             for server, factor in lowest.items()
-            if factor < (RESTORED_ABOVE if server in self._deprioritized else DEPRIORITIZED_BELOW)
+            if factor < (MIN_RESTORED_SCORE_FACTOR if server in self._deprioritized else DEPRIORITIZED_BELOW)
         }
         for server in sorted(deprioritized - self._deprioritized):
             self._log_lines.append(
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -133,7 +133,7 @@
 @fixed_draws("noise_with_a_valid_mac_ends_in_records_or_one_error")
 @given(headers, st.binary(max_size=MAX_BODY_BYTES))
 def test_noise_with_a_valid_mac_is_decoded_or_rejected(header: Header, body: bytes) -> None:
-    """What a member with a good key can send."""
+    """Cover what a member with a valid group key can send."""
     data = encode(header, [body], KEYS[header.group_key])
     try:
         read = decode(data, KEYS)
