--- a/tests/fault_injection/test_drills.py
+++ b/tests/fault_injection/test_drills.py
@@ -107,14 +107,15 @@
 BROKEN = {
     "again": (
         "proxy/client_connection.py",
-        "        transport.write(encode_response(status, headers, body, last))\n",
-        "        transport.write(encode_response(status, headers, body, last))\n"
+        "        transport.write(encode_response(status, headers, body, is_last))\n",
+        "        transport.write(encode_response(status, headers, body, is_last))\n"
         "        asyncio.get_running_loop().call_later(0.001, transport.write, b'HTTP/1.1 200 OK')\n",
     ),
     "stale": (
         "config/source.py",
-        "        begun = bool(self._directory.entries)\n",
-        "        begun = bool(self._directory.entries)\n        if begun:\n            return\n",
+        "        has_predecessor = bool(self._directory.entries)\n",
+        "        has_predecessor = bool(self._directory.entries)\n"
+        "        if has_predecessor:\n            return\n",
     ),
     "twice": (
         "balancer/request.py",
@@ -124,8 +125,8 @@
     ),
     "foreign": (
         "proxy/client_connection.py",
-        "        self._answer(200, end_to_end_headers(answer.headers, NOT_FORWARDED), answer.body)\n",
-        "        self._answer(200, end_to_end_headers(answer.headers, NOT_FORWARDED), "
+        "        self._answer(200, end_to_end_headers(response.headers, NOT_FORWARDED), response.body)\n",
+        "        self._answer(200, end_to_end_headers(response.headers, NOT_FORWARDED), "
         "b'0000000000 r0-1 ran')\n",
     ),
 }
