--- a/client_proxy/emulator/emulated_server.py
+++ b/client_proxy/emulator/emulated_server.py
@@ -13,7 +13,7 @@
 from client_proxy.emulator.environment import ServerEnvironment
 from client_proxy.emulator.event_log import Arrival, ClientAttempt, OverloadCrash, ServerOutcome, ServerSample
 from client_proxy.emulator.listeners import Listener
-from client_proxy.emulator.process_model import Admission, Job, ProcessModel
+from client_proxy.emulator.process_model import Admission, ProcessModel, ServerRequest
 from client_proxy.emulator.random_streams import lognormal, uniform_draw
 from client_proxy.emulator.scenario import Fault, ServerSpec
 from client_proxy.emulator.server_connection import (
@@ -349,7 +349,7 @@
         self, connection: ServerConnection, arrival: Arrival, headers: dict[bytes, bytes], work_ms: float
     ) -> None:
         """Offer a request to the model and handle its admission."""
-        job = Job(
+        job = ServerRequest(
             PendingRequest(connection, arrival),
             self._total_work_ms(connection, arrival, work_ms),
             arrival.arrived_s,
@@ -405,7 +405,7 @@
             self._job_ended(job)
         return now_s
 
-    def _job_started(self, job: Job) -> None:
+    def _job_started(self, job: ServerRequest) -> None:
         arrival = _owner(job).arrival
         arrival.started_s = job.started_s
         arrival.outcome = ServerOutcome.RUNNING
@@ -415,7 +415,7 @@
             if group.start(arrival.idempotency_key, job.started_s):
                 arrival.outcome = ServerOutcome.DEDUPLICATED
 
-    def _job_ended(self, job: Job) -> None:
+    def _job_ended(self, job: ServerRequest) -> None:
         connection, arrival = _owner(job).connection, _owner(job).arrival
         if connection.job is job:
             connection.job = None
@@ -475,6 +475,6 @@
         return next((name for name, holds in states.items() if holds), "up")
 
 
-def _owner(job: Job) -> PendingRequest:
+def _owner(job: ServerRequest) -> PendingRequest:
     owner: PendingRequest = job.owner
     return owner
--- a/client_proxy/emulator/memory_socket.py
+++ b/client_proxy/emulator/memory_socket.py
@@ -34,7 +34,7 @@
         self._network = network
         self.loop = loop
         self.peer: MemorySocket | None = None
-        self.name: Address = ("127.0.0.1", 0)
+        self.sockname: Address = ("127.0.0.1", 0)
         self.peername: Address = ("127.0.0.1", 0)
         self.protocol: asyncio.Protocol | None = None
         self._received: deque[bytes | None] = deque()  # arrived and not read; None: the end
@@ -89,7 +89,7 @@
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         """Return `peername` or `sockname`."""
-        return {"peername": self.peername, "sockname": self.name}.get(name, default)
+        return {"peername": self.peername, "sockname": self.sockname}.get(name, default)
 
     def is_closing(self) -> bool:
         """Return whether it has been closed or lost."""
--- a/client_proxy/emulator/network.py
+++ b/client_proxy/emulator/network.py
@@ -184,8 +184,8 @@
         """Connect a dialling socket with a listener."""
         here = MemorySocket(self, listener.loop)
         here.peer, sock.peer = sock, here
-        here.name, here.peername = listener.address, ("127.0.0.1", self.free_port())
-        sock.name = here.peername
+        here.sockname, here.peername = listener.address, ("127.0.0.1", self.free_port())
+        sock.sockname = here.peername
         for end in (here, sock):
             if end.loop is not None:
                 self._open.setdefault(end.loop, {})[end] = None
@@ -211,6 +211,6 @@
         if port is not None:
             port.arrive(data, source)
 
-    def open_by(self, loop: VirtualLoop) -> int:
+    def open_socket_count(self, loop: VirtualLoop) -> int:
         """Return the number of a machine's open sockets."""
         return len(self._open.get(loop, {}))
--- a/client_proxy/emulator/process_model.py
+++ b/client_proxy/emulator/process_model.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Job:
+class ServerRequest:
     """A request at a server.
 
     Attributes:
@@ -81,8 +81,8 @@
 class WorkProgress:
     """What happened up to the time asked for, in order."""
 
-    started: list[Job] = field(default_factory=list)
-    ended: list[Job] = field(default_factory=list)
+    started: list[ServerRequest] = field(default_factory=list)
+    ended: list[ServerRequest] = field(default_factory=list)
 
 
 class ProcessModel:
@@ -111,8 +111,8 @@
         self.name, self.server_type = name, server_type
         self.slots = max(1, round(server_type.slots_per_core * server_type.cores))
         self.queue_capacity = round(server_type.queue_per_core * server_type.cores)
-        self.running: list[Job] = []
-        self.queued: deque[Job] = deque()
+        self.running: list[ServerRequest] = []
+        self.queued: deque[ServerRequest] = deque()
         self.slowdown = 1.0
         self.crashed = False
         self.congested_since_s: float | None = None
@@ -230,7 +230,7 @@
             progress.ended.append(job)
         self._start_jobs(progress)
 
-    def _complete(self, job: Job) -> None:
+    def _complete(self, job: ServerRequest) -> None:
         self.running.remove(job)
         job.ended_s = self._at_s
         self.completed += 1
@@ -299,7 +299,7 @@
 
     # Events: the caller advances the model to the same time first
 
-    def offer(self, job: Job) -> Admission:
+    def offer(self, job: ServerRequest) -> Admission:
         """Offer a request that has arrived completely."""
         if self._cold_since_s is not None and self._is_overloaded_while_cold(job.arrived_s, job.work_ms):
             self.crashed = True
@@ -323,7 +323,7 @@
         capacity_ms = self.server_type.cores * self.server_type.speed * warmth * self._crash_window_ms
         return self._recent_work_ms > self._crash_multiple * capacity_ms
 
-    def cancel(self, job: Job) -> bool:
+    def cancel(self, job: ServerRequest) -> bool:
         """Handle the end of a job's connection; return whether the job was dropped.
 
         Queued work is dropped if the server type does so; running work goes on.
--- a/client_proxy/emulator/server_connection.py
+++ b/client_proxy/emulator/server_connection.py
@@ -15,7 +15,7 @@
 
 from client_proxy.emulator.event_log import Arrival
 from client_proxy.emulator.listeners import reset_connection
-from client_proxy.emulator.process_model import Job
+from client_proxy.emulator.process_model import ServerRequest
 from client_proxy.emulator.scenario import NetworkSettings
 
 MAX_BODY_BYTES = 64 * 1024
@@ -100,7 +100,7 @@
         self.proxy = proxy
         self.handshake_work_ms = 0.0
         self.over_limit = False
-        self.job: Job | None = None
+        self.job: ServerRequest | None = None
         self.lost = False
         self._server = server
         self._parser = httptools.HttpRequestParser(self)
--- a/client_proxy/emulator/simulation.py
+++ b/client_proxy/emulator/simulation.py
@@ -348,7 +348,7 @@
         end_s = scheduler.run(loop, main(), MAX_RUN_S)
         result = simulation.result("virtual", end_s)
     result.failures += loop.failures
-    result.callbacks_run = scheduler.ran
+    result.callbacks_run = scheduler.executed_callbacks
     return result
 
 
--- a/client_proxy/emulator/virtual.py
+++ b/client_proxy/emulator/virtual.py
@@ -33,7 +33,7 @@
         self._ready: deque[tuple[VirtualLoop, asyncio.Handle]] = deque()
         self._timers: list[tuple[float, int, VirtualLoop, asyncio.TimerHandle]] = []
         self._count = 0
-        self.ran = 0  # callbacks so far
+        self.executed_callbacks = 0  # callbacks so far
 
     def time(self) -> float:
         """Return the time in seconds."""
@@ -65,7 +65,7 @@
             loop, handle = self._ready.popleft()
             if loop.dead or handle.cancelled():
                 continue
-            self.ran += 1
+            self.executed_callbacks += 1
             events._set_running_loop(loop)
             try:
                 handle._run()
--- a/tests/emulator/test_faults.py
+++ b/tests/emulator/test_faults.py
@@ -354,7 +354,7 @@
 
 
 def test_reports_are_noisy_by_their_number_and_not_by_the_asking() -> None:
-    from client_proxy.emulator.process_model import Job, ProcessModel
+    from client_proxy.emulator.process_model import ProcessModel, ServerRequest
     from client_proxy.emulator.scenario import LoadReportSettings, ServerType
 
     machine = ProcessModel(
@@ -365,7 +365,7 @@
         seed=3,
     )
     for _ in range(4):
-        machine.offer(Job(None, 1e9, 0.0))
+        machine.offer(ServerRequest(None, 1e9, 0.0))
     told = []
     for step in range(1, 60):
         machine.advance(step * 0.1)
--- a/tests/emulator/test_process_model.py
+++ b/tests/emulator/test_process_model.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from client_proxy.emulator.process_model import Admission, DeduplicationGroup, Job, ProcessModel
+from client_proxy.emulator.process_model import Admission, DeduplicationGroup, ProcessModel, ServerRequest
 from client_proxy.emulator.scenario import LoadReportSettings, ServerType
 from tests.support.fixed_draws import fixed_draws
 
@@ -21,9 +21,9 @@
     return ProcessModel("m", kind, reports or LoadReportSettings(noise=0.0), 0.0, cold=cold)
 
 
-def offer(m: ProcessModel, at_s: float, work_ms: float, expires_s: float = float("inf")) -> Job:
+def offer(m: ProcessModel, at_s: float, work_ms: float, expires_s: float = float("inf")) -> ServerRequest:
     m.advance(at_s)
-    job = Job(None, work_ms, at_s, expires_s)
+    job = ServerRequest(None, work_ms, at_s, expires_s)
     assert m.offer(job) is Admission.ACCEPTED
     m.advance(at_s)
     return job
@@ -51,7 +51,7 @@
     m = machine()
     first = [offer(m, 0.0, 100.0), offer(m, 0.0, 200.0)]
     waiting = [offer(m, 0.0, 50.0), offer(m, 0.0, 50.0)]
-    assert m.offer(Job(None, 1.0, 0.0)) is Admission.FULL
+    assert m.offer(ServerRequest(None, 1.0, 0.0)) is Admission.FULL
     assert all(job.started_s == 0.0 for job in first)
     assert all(job.started_s is None for job in waiting)
     run_out(m, 1.0)
@@ -104,7 +104,7 @@
     cold = machine(kind, cold=True)
     for _ in range(60):
         offer(cold, 0.0, 100.0)
-    assert cold.offer(Job(None, 1.0, 0.0)) is Admission.CRASHED
+    assert cold.offer(ServerRequest(None, 1.0, 0.0)) is Admission.CRASHED
     warm = machine(kind)
     for _ in range(600):
         offer(warm, 0.0, 100.0)
@@ -209,7 +209,7 @@
         now_s += wait_s
         m.advance(now_s)
         if what == "offer":
-            job = Job(None, work_ms, now_s)
+            job = ServerRequest(None, work_ms, now_s)
             if m.offer(job) is Admission.ACCEPTED:
                 jobs.append(job)
             m.advance(now_s)
--- a/tests/emulator/test_virtual.py
+++ b/tests/emulator/test_virtual.py
@@ -233,8 +233,8 @@
         assert "timer" not in ran
         assert "lost" not in server.log  # a dead process learns nothing
         with pytest.raises(ConnectionRefusedError):
-            await world.loop.create_connection(Peer, *server.transport.name)
-        assert world.network.open_by(machine) == 0
+            await world.loop.create_connection(Peer, *server.transport.sockname)
+        assert world.network.open_socket_count(machine) == 0
 
     world.run(main())
 
@@ -257,7 +257,7 @@
             transport, _ = await world.loop.create_connection(Peer, *listener.address)
             transport.reset() if number % 2 else transport.close()
         await asyncio.sleep(1.0)
-        assert world.network.open_by(world.loop) == 0
+        assert world.network.open_socket_count(world.loop) == 0
         assert not world.scheduler._ready
         assert not world.scheduler._timers
 
--- a/tests/proxy/test_dials.py
+++ b/tests/proxy/test_dials.py
@@ -47,7 +47,7 @@
         monkeypatch.setattr(loop, "create_connection", made)
         await asyncio.sleep(1.0)
         assert [each.outcome for each in ended] == [Outcome.CANCELLED]
-        assert upstream.open_connections == network.open_by(loop) == 0
+        assert upstream.open_connections == network.open_socket_count(loop) == 0
 
     with clock.driven(scheduler.time, scheduler.time):
         scheduler.run(loop, main(), 10.0)
