--- a/client_proxy/emulator/byzantine_reporters.py
+++ b/client_proxy/emulator/byzantine_reporters.py
@@ -1,6 +1,6 @@
-"""Byzantine reporters in simulations: instances that keep the protocol and signatures but report falsely.
+"""Byzantine reporters in simulations: instances that follow the protocol, sign correctly and report falsely.
 
-The names of the classes stand in the texts of fault schedules.
+Fault schedules name these classes in their texts, so the class names must not change.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from client_proxy.membership.node import GossipNode
 
 REPORT_INTERVAL_MS = 500.0
-REPORTED_ATTEMPTS = 20
-UNLOADED_SLOWNESS = 16  # in sixteenths
-EQUIVOCATION_FANOUT = 6
+REPORTED_ATTEMPTS = 20  # in each false observation
+UNLOADED_SLOWNESS = 16  # in sixteenths of the usual latency: a server without any delay by load
+EQUIVOCATION_FANOUT = 6  # members that receive the contradicting reports each time
 
 
-def accusation(server: str) -> ServerObservation:
+def failing_observation(server: str) -> ServerObservation:
     """Return the observation that all attempts at a server fail."""
     return ServerObservation(
         name_tag(server),
@@ -34,7 +34,7 @@
     )
 
 
-def praise(server: str) -> ServerObservation:
+def healthy_observation(server: str) -> ServerObservation:
     """Return the observation that all attempts at a server are served without delay."""
     return ServerObservation(
         name_tag(server),
@@ -48,14 +48,14 @@
 
 
 class ByzantineReporter(GossipNode):
-    """Reports of servers what `fabricated_observations` returns, again and again."""
+    """Reports the result of `fabricated_observations` every `REPORT_INTERVAL_MS`."""
 
     def fabricated_observations(self) -> tuple[ServerObservation, ...]:
-        """Return what to report."""
+        """Return the false observations to report."""
         raise NotImplementedError
 
     def server_names(self) -> list[str]:
-        """Return the names of the ready servers."""
+        """Return the names of all ready servers."""
         return self.suspicions.ready_servers()
 
     def _is_report_due(self, now_ms: float) -> bool:
@@ -71,43 +71,46 @@
 
 
 class AccusesAll(ByzantineReporter):
-    """Accuses as many servers as fit one report."""
+    """Reports failures of as many servers as fit into one report."""
 
     def fabricated_observations(self) -> tuple[ServerObservation, ...]:
-        """Return accusations of all servers."""
-        return tuple(accusation(name) for name in self.server_names()[:MAX_OBSERVED_SERVERS])
+        """Return observations that these servers fail."""
+        return tuple(failing_observation(name) for name in self.server_names()[:MAX_OBSERVED_SERVERS])
 
 
 class AccusesFirst(ByzantineReporter):
-    """Accuses one server, always the same; several such reporters agree without communication."""
+    """Reports failures of one server, the first one; several such reporters agree without communication."""
 
     def fabricated_observations(self) -> tuple[ServerObservation, ...]:
-        """Return an accusation of the first server."""
-        return tuple(accusation(name) for name in self.server_names()[:1])
+        """Return an observation that the first server fails."""
+        return tuple(failing_observation(name) for name in self.server_names()[:1])
 
 
 class AccusesTwo(ByzantineReporter):
-    """Accuses as many servers as one may without loss of weight, in a fleet of nine."""
+    """Reports failures of two servers, as many as one may without loss of weight in a fleet of nine."""
 
     def fabricated_observations(self) -> tuple[ServerObservation, ...]:
-        """Return accusations of the first two servers."""
-        return tuple(accusation(name) for name in self.server_names()[:2])
+        """Return observations that the first two servers fail."""
+        return tuple(failing_observation(name) for name in self.server_names()[:2])
 
 
 class PraisesAll(ByzantineReporter):
     """Reports all servers to be healthy."""
 
     def fabricated_observations(self) -> tuple[ServerObservation, ...]:
-        """Return praise of all servers."""
-        return tuple(praise(name) for name in self.server_names()[:MAX_OBSERVED_SERVERS])
+        """Return observations that these servers are healthy."""
+        return tuple(healthy_observation(name) for name in self.server_names()[:MAX_OBSERVED_SERVERS])
 
 
 class Equivocates(ByzantineReporter):
-    """Accuses one server to half of the members and praises it to the others, under one number."""
+    """Sends contradicting reports under one sequence number.
+
+    Half of the members receive that one server fails, the others that it is healthy.
+    """
 
     def fabricated_observations(self) -> tuple[ServerObservation, ...]:
-        """Return an accusation of the first server."""
-        return tuple(accusation(name) for name in self.server_names()[:1])
+        """Return an observation that the first server fails."""
+        return tuple(failing_observation(name) for name in self.server_names()[:1])
 
     def _report_observations(self, now_ms: float) -> None:
         if not self._is_report_due(now_ms) or not self.server_names():
@@ -116,8 +119,8 @@
         self._sequence += 1
         versions = (
             self.fabricated_observations(),
-            tuple(praise(name) for name in self.server_names()[:1]),
+            tuple(healthy_observation(name) for name in self.server_names()[:1]),
         )
-        for place, member in enumerate(self.swim.random_members(EQUIVOCATION_FANOUT)):
-            report = self.sign_report(self._sequence, versions[place % 2])
+        for position, member in enumerate(self.swim.random_members(EQUIVOCATION_FANOUT)):
+            report = self.sign_report(self._sequence, versions[position % 2])
             self._enqueue(SendPriority.BROADCAST, member.alive.address, [report])
--- a/client_proxy/emulator/discovery_connection.py
+++ b/client_proxy/emulator/discovery_connection.py
@@ -14,22 +14,23 @@
 Json = dict[str, Any]
 
 HEARTBEAT_S = 2.0
+"""Seconds without a change after which a watch is sent an empty line."""
 ENDPOINTS_PATH = "/v1/endpoints"
 SILENT = "silent"
-"""The outage in which discovery takes requests and says nothing."""
+"""The outage mode in which discovery accepts requests and sends nothing."""
 UNAVAILABLE = "503"
-"""The outage in which discovery answers with this status."""
+"""The outage mode in which discovery answers with this status."""
 
 
 class EndpointSource(Protocol):
-    """What a connection needs of discovery.
+    """What a connection needs from discovery.
 
     Attributes:
-        latency_s: until a request is answered.
+        latency_s: the time until a request is answered, in seconds.
         index: the version of the endpoint list.
-        requests: number of requests so far.
-        outage_mode: how discovery fails at present; empty: it works.
-        connections: all open connections.
+        requests: the number of requests so far.
+        outage_mode: how discovery fails at present; empty while it works.
+        connections: all open connections; the values are unused.
     """
 
     latency_s: float
@@ -42,11 +43,17 @@
         """Return the whole endpoint list for a proxy."""
 
     def changes_since(self, proxy: int, index: int) -> Json | None:
-        """Return the changes after a version; None if there are none."""
+        """Return the changes after version `index`; None if there are none."""
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection; `index` is the version that its watch has sent."""
+    """One connection.
+
+    Attributes:
+        proxy: the number of the proxy at its other end.
+        watching: whether a watch is open on it.
+        index: the version of the endpoint list that the watch has sent.
+    """
 
     def __init__(self, source: EndpointSource, proxy: int) -> None:
         self.proxy = proxy
@@ -66,7 +73,7 @@
         self._source.connections[self] = None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the watch."""
+        """Remove the connection and end its watch."""
         self._source.connections.pop(self, None)
         self.watching = False
         if self._heartbeat_timer is not None:
@@ -86,7 +93,7 @@
         self._url = b""
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the URL."""
+        """Append a part of the URL."""
         self._url += url
 
     def on_message_complete(self) -> None:
@@ -117,7 +124,7 @@
         self._transport.write(b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n" % status)
 
     def _begin_watch(self, since: str) -> None:
-        """Send what is newer than the version `since`, or the whole list, and keep the response open."""
+        """Begin a watch: send the changes after version `since`, or else the whole list."""
         source = self._source
         self._transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.watching = True
@@ -150,7 +157,7 @@
         self._write_line(json.dumps(message).encode())
 
     def send_changes(self) -> None:
-        """Send what changed since the version that this watch has sent."""
+        """Send the changes after the version that the watch has sent, unless discovery has an outage."""
         source = self._source
         if not self.watching or source.outage_mode or self.index >= source.index:
             return
--- a/client_proxy/emulator/emulated_server.py
+++ b/client_proxy/emulator/emulated_server.py
@@ -1,6 +1,6 @@
-"""An emulated server: the process model behind the HTTP protocol, with its faults.
+"""An emulated server: HTTP connections, the process model that runs their requests, and faults.
 
-One object stands for a server under one name, through freezes, ends and new incarnations of its process.
+One object stands for the server of one name over all freezes, ends and restarts of its process.
 """
 
 from __future__ import annotations
@@ -28,22 +28,24 @@
 MILLISECONDS = re.compile(rb"[0-9]{1,9}")
 NEVER_RAN = b"X-Never-Ran: 1"
 IDLE_REPORT = {"inflight": 1.0, "queue": 0.0, "util": 0.1}
-"""What a server reports by a fault of kind `lies`."""
+"""The fields that a fault of kind `lies` puts in place of the true ones in load reports."""
 
 
 class EmulatedServer:
     """A server and its listeners, one for each proxy.
 
     Attributes:
-        incarnation: counts the starts of its process.
-        since_ms: Unix time of the last start; 0 for a server that was there from the start.
-        listeners: by proxy.
-        successor: the server that took over its addresses.
-        up: its process runs.
-        draining: it is shutting down gracefully.
-        vanished: its machine can't be reached.
-        reports_idle: its load reports say that it is idle.
-        faults: the faults of kind `fail` that are active.
+        incarnation: the number of starts of its process.
+        since_ms: Unix time of the last start, in milliseconds; 0 if it runs since the start of the scenario.
+        listeners: its listeners by proxy number.
+        successor: the server that took over its addresses; None while it has them itself.
+        connections: all open connections; the values are unused.
+        faults: the active faults of kind `fail`.
+        up: whether its process runs.
+        draining: whether it is shutting down gracefully.
+        vanished: whether its machine is cut off from the network.
+        reports_idle: whether its load reports claim that it is idle.
+        model: the model of its present process.
     """
 
     def __init__(self, environment: ServerEnvironment, spec: ServerSpec) -> None:
@@ -64,28 +66,28 @@
         self.model = self._new_model(cold=False)
         self._partitions = Partitions()
         self._freezes = 0
-        self._deferred: list[Callable[[], None]] = []  # what was due while it was frozen
+        self._deferred: list[Callable[[], None]] = []  # actions that became due while it was frozen
         self._slowdowns: list[float] = []
         self._wake_timer: asyncio.TimerHandle | None = None
         self._wake_s = 0.0
 
     @property
     def now_s(self) -> float:
-        """The time on the loop's clock."""
+        """The time on the loop's clock, in seconds."""
         return self.loop.time()
 
     @property
     def frozen(self) -> bool:
-        """Whether it stands still."""
+        """Whether its process is frozen."""
         return self._freezes > 0
 
     @property
     def partitioned_from(self) -> set[int]:
-        """The proxies that it is separated from."""
+        """The numbers of the proxies that a partition separates from it."""
         return self._partitions.proxies
 
     def one_way_delay_s(self, proxy: int) -> float:
-        """Return the network's delay from or to a proxy."""
+        """Return the network's delay in one direction between the server and a proxy, in seconds."""
         network = self.network_settings
         same_zone = self.environment.scenario.zone_of(proxy) == self.spec.zone
         return (network.same_zone_ms if same_zone else network.cross_zone_ms) / 1000.0
@@ -103,10 +105,10 @@
             seed=scenario.seed,
         )
 
-    # Its process
+    # Process
 
     def prepare(self) -> None:
-        """Create its listeners."""
+        """Create the listeners, one for each proxy."""
         for proxy in range(self.environment.scenario.clients.proxies):
             self.listeners.append(self.environment.new_listener(self._connection_factory(proxy)))
 
@@ -114,20 +116,20 @@
         return lambda: ServerConnection(self.current_successor(), proxy)
 
     def current_successor(self) -> EmulatedServer:
-        """Return the server that listens at its addresses now: itself, or the last successor."""
+        """Return the server that listens at its addresses now: this one, or the last of its successors."""
         server = self
         while server.successor is not None:
             server = server.successor
         return server
 
     def replace(self, predecessor: EmulatedServer) -> None:
-        """Take over the addresses of a server that has gone."""
+        """Take over the addresses and the partitions of a server that has ended for good."""
         predecessor.successor = self
         self.listeners = predecessor.listeners
         self._partitions = predecessor._partitions
 
     def start(self, cold: bool, since_ms: int = 0) -> None:
-        """Start a process, at the same addresses as the one before."""
+        """Start a process at the same addresses as the one before; `cold`: it has to warm up."""
         self.incarnation += 1
         self.since_ms = since_ms
         self.up, self.draining, self.vanished = True, False, False
@@ -142,7 +144,7 @@
                 listener.hold()
 
     def kill(self) -> None:
-        """End the process: connections are reset, dials refused, its requests lost."""
+        """End the process at once: connections are reset, dials are refused, and its requests are lost."""
         if not self.up:
             return
         self._catch_up()
@@ -155,7 +157,7 @@
         self._set_wake_timer()
 
     def close(self) -> None:
-        """End the process and give up its addresses."""
+        """End the process and close all listeners."""
         self.kill()
         for listener in self.listeners:
             listener.close()
@@ -163,7 +165,7 @@
     # Faults
 
     def freeze(self) -> None:
-        """Stand still: nothing is read, worked on or answered, and nothing is closed."""
+        """Freeze the process: it reads, runs and answers nothing, and its connections stay open."""
         self._catch_up()
         self._freezes += 1
         self.model.freeze()
@@ -173,7 +175,7 @@
         self._set_wake_timer()
 
     def thaw(self, incarnation: int) -> None:
-        """End a freeze of this incarnation, if its process still runs."""
+        """End one freeze, unless the process that was frozen, `incarnation`, has ended."""
         if not self.up or incarnation != self.incarnation or not self._freezes:
             return
         self._catch_up()
@@ -188,14 +190,14 @@
         self._set_wake_timer()
 
     def vanish(self) -> None:
-        """Be cut off from the network: as frozen, and dials are not answered either."""
+        """Cut the machine off from the network: the process is frozen, and dials are not answered."""
         self.vanished = True
         self.freeze()
         for listener in self.listeners:
             listener.hold()
 
     def reappear(self, incarnation: int) -> None:
-        """Be back on the network, if this incarnation's process still runs."""
+        """End the cut from the network, unless the process that vanished, `incarnation`, has ended."""
         if not self.up or incarnation != self.incarnation or not self.vanished:
             return
         self.vanished = False
@@ -205,14 +207,14 @@
         self.thaw(incarnation)
 
     def partition_from(self, proxies: tuple[int, ...]) -> None:
-        """Begin a partition: these proxies' dials are not answered, their connections go silent."""
+        """Begin a partition: these proxies' dials are not answered, and their connections carry nothing."""
         for proxy in proxies:
             self._partitions.begin(proxy)
             if self.up:
                 self.listeners[proxy].hold()
 
     def heal_partition(self, proxies: tuple[int, ...]) -> None:
-        """End a partition from these proxies."""
+        """End one partition from each of these proxies."""
         for proxy in proxies:
             if self._partitions.end(proxy) and self.up and not self.vanished:
                 self.listeners[proxy].open()
@@ -221,7 +223,7 @@
                 connection.heal_partition()
 
     def slow_down(self, factor: float) -> None:
-        """Make work take so many times as long."""
+        """Begin a slowdown: all work takes `factor` times as long."""
         self._catch_up()
         self._slowdowns.append(factor)
         self.model.slowdown *= factor
@@ -237,7 +239,7 @@
     # Connections
 
     def connection_opened(self, connection: ServerConnection) -> None:
-        """Take a new connection."""
+        """Add a new connection, or reset it if the process has ended."""
         accepted = self.environment.event_log.accepted_connections
         accepted[self.name] = accepted.get(self.name, 0) + 1
         self.connections[connection] = None
@@ -249,20 +251,20 @@
             connection.pause()
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """Forget a connection; its queued request may be dropped."""
+        """Remove a connection; the server type decides whether its queued request is dropped."""
         self.connections.pop(connection, None)
-        job, connection.job = connection.job, None
-        if job is None or not self.up:
+        request, connection.server_request = connection.server_request, None
+        if request is None or not self.up:
             return
         self._catch_up()
-        if self.model.cancel(job):
-            _owner(job).arrival.outcome = ServerOutcome.CANCELLED
+        if self.model.cancel(request):
+            _pending_request(request).arrival.outcome = ServerOutcome.CANCELLED
         self._set_wake_timer()
 
     # Requests
 
     def request_received(self, connection: ServerConnection, request: ReceivedRequest) -> None:
-        """Take a complete request: answer it, let it fail, or offer it to the model."""
+        """Record a complete request, then answer it, make it fail, or offer it to the model."""
         now_s = self._catch_up()
         attempt_id = request.headers.get(b"x-trace-id", b"").decode("latin-1")
         if not attempt_id:
@@ -282,7 +284,7 @@
         elif connection.over_limit:
             arrival.outcome = ServerOutcome.REJECTED
             connection.answer(encode_response(503, b"", NEVER_RAN, b"Connection: close"), last=True)
-        elif not self._fails(connection, arrival):
+        elif not self._apply_fault(connection, arrival):
             self._offer(connection, arrival, request.headers, attempt.work_ms)
 
     def _record_arrival(
@@ -301,26 +303,26 @@
         self.environment.event_log.arrivals.append(arrival)
         return arrival
 
-    def _fails(self, connection: ServerConnection, arrival: Arrival) -> bool:
-        """Let a request fail by the first fault that affects it; return whether one did."""
+    def _apply_fault(self, connection: ServerConnection, arrival: Arrival) -> bool:
+        """Apply the first fault that affects the request; return whether the request fails by it."""
         for active in self.faults:
             if not active.fails(self.environment.scenario.seed, self.name, arrival):
                 continue
             if active.fault.mode == "lost":
-                # It runs, and its answer gets lost on the way.
+                # The request runs, and only its answer is lost.
                 arrival.answer_lost = True
                 return False
-            self._fail(connection, arrival, active.fault)
+            self._fail_request(connection, arrival, active.fault)
             return True
         return False
 
-    def _fail(self, connection: ServerConnection, arrival: Arrival, fault: Fault) -> None:
+    def _fail_request(self, connection: ServerConnection, arrival: Arrival, fault: Fault) -> None:
         if fault.mode == "silent":
             arrival.outcome = ServerOutcome.STALLED
             return
         arrival.outcome = ServerOutcome.FAILED
 
-        def fail() -> None:
+        def end_request() -> None:
             arrival.ended_s = self.now_s
             if fault.mode == "reset":
                 connection.reset()
@@ -329,13 +331,16 @@
             else:
                 connection.answer(encode_response(500, b"", self._load_report()))
 
-        self._call_later(fault.delay_ms / 1000.0, fail)
+        self._call_later(fault.delay_ms / 1000.0, end_request)
 
     def _call_later(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Run an action later, after a freeze if it falls into one, and not if the process ends before."""
+        """Run an action after a delay.
+
+        If the process is frozen then, the action runs after the freeze; if it has ended, it never runs.
+        """
         incarnation = self.incarnation
 
-        def due() -> None:
+        def run_if_up() -> None:
             if not self.up or incarnation != self.incarnation:
                 return
             if self.frozen:
@@ -343,21 +348,21 @@
             else:
                 action()
 
-        self.loop.call_later(delay_s, due)
+        self.loop.call_later(delay_s, run_if_up)
 
     def _offer(
         self, connection: ServerConnection, arrival: Arrival, headers: dict[bytes, bytes], work_ms: float
     ) -> None:
-        """Offer a request to the model and handle its admission."""
-        job = ServerRequest(
+        """Offer a request to the model and answer it if it is rejected."""
+        request = ServerRequest(
             PendingRequest(connection, arrival),
             self._total_work_ms(connection, arrival, work_ms),
             arrival.arrived_s,
         )
         expires_in_ms = headers.get(b"x-expires-in-ms", b"")
         if MILLISECONDS.fullmatch(expires_in_ms):
-            job.expires_s = arrival.arrived_s + int(expires_in_ms) / 1000.0
-        admission = self.model.offer(job)
+            request.expires_s = arrival.arrived_s + int(expires_in_ms) / 1000.0
+        admission = self.model.offer(request)
         if admission is Admission.CRASHED:
             arrival.outcome = ServerOutcome.REJECTED
             self.environment.event_log.overload_crashes.append(OverloadCrash(self.name, self.now_s))
@@ -366,12 +371,12 @@
             arrival.outcome = ServerOutcome.REJECTED
             connection.answer(encode_response(503, b"", NEVER_RAN, self._load_report()))
         else:
-            connection.job = job
-            self._catch_up(arrival.arrived_s)  # it may start at once, and not before it arrived
+            connection.server_request = request
+            self._catch_up(arrival.arrived_s)  # the request may start at once, at its time of arrival
             self._set_wake_timer()
 
     def _total_work_ms(self, connection: ServerConnection, arrival: Arrival, work_ms: float) -> float:
-        """Return the work of an attempt, with noise, faults, and the handshake of a new connection."""
+        """Return the work of an attempt in ms, with noise, faults and, if it is the first, the handshake."""
         seed = self.environment.scenario.seed
         request_class = self.environment.classes[arrival.class_name]
         quantile = uniform_draw(seed, "noise", self.name, arrival.attempt_id)
@@ -393,37 +398,37 @@
     # Time
 
     def _catch_up(self, now_s: float | None = None) -> float:
-        """Advance the model to now, or to a given time; return that time."""
+        """Advance the model to `now_s`, by default the present time; return that time."""
         if now_s is None:
             now_s = self.now_s
         if not self.up:
             return now_s
         progress = self.model.advance(now_s)
-        for job in progress.started:
-            self._job_started(job)
-        for job in progress.ended:
-            self._job_ended(job)
+        for request in progress.started:
+            self._request_started(request)
+        for request in progress.ended:
+            self._request_ended(request)
         return now_s
 
-    def _job_started(self, job: ServerRequest) -> None:
-        arrival = _owner(job).arrival
-        arrival.started_s = job.started_s
+    def _request_started(self, request: ServerRequest) -> None:
+        arrival = _pending_request(request).arrival
+        arrival.started_s = request.started_s
         arrival.outcome = ServerOutcome.RUNNING
         request_class = self.environment.classes[arrival.class_name]
-        if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY and job.started_s is not None:
+        if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY and request.started_s is not None:
             group = self.environment.deduplication_group(request_class, self.spec)
-            if group.start(arrival.idempotency_key, job.started_s):
+            if group.start(arrival.idempotency_key, request.started_s):
                 arrival.outcome = ServerOutcome.DEDUPLICATED
 
-    def _job_ended(self, job: ServerRequest) -> None:
-        connection, arrival = _owner(job).connection, _owner(job).arrival
-        if connection.job is job:
-            connection.job = None
-        if job.expired:
+    def _request_ended(self, request: ServerRequest) -> None:
+        connection, arrival = _pending_request(request).connection, _pending_request(request).arrival
+        if connection.server_request is request:
+            connection.server_request = None
+        if request.expired:
             arrival.outcome = ServerOutcome.REJECTED
             connection.answer(encode_response(504, b"", NEVER_RAN, self._load_report()))
             return
-        arrival.ended_s = job.ended_s
+        arrival.ended_s = request.ended_s
         if arrival.outcome is not ServerOutcome.DEDUPLICATED:
             arrival.outcome = ServerOutcome.COMPLETED
         if arrival.answer_lost:
@@ -433,7 +438,7 @@
         connection.answer(encode_response(200, body, self._load_report()))
 
     def _set_wake_timer(self) -> None:
-        """Wake up at the model's next event."""
+        """Set the timer to the model's next event, or cancel it if there is none."""
         next_s = self.model.next_event_s() if self.up else None
         if self._wake_timer is not None:
             if next_s == self._wake_s:
@@ -450,7 +455,7 @@
         self._set_wake_timer()
 
     def sample(self, start_s: float) -> ServerSample:
-        """Return its state for the time line, which begins at `start_s`."""
+        """Return a sample of its state, timed in seconds since `start_s`, the scenario's start."""
         self._catch_up()
         return ServerSample(
             at_s=self.now_s - start_s,
@@ -462,7 +467,7 @@
         )
 
     def _state_name(self) -> str:
-        """Return the state as reports name it."""
+        """Return the name of its state in reports."""
         if not self.up:
             return "fell" if self.model.crashed else "down"
         states = {
@@ -472,9 +477,9 @@
             "draining": self.draining,
             "cold": self.model.cold(self.now_s),
         }
-        return next((name for name, holds in states.items() if holds), "up")
+        return next((name for name, applies in states.items() if applies), "up")
 
 
-def _owner(job: ServerRequest) -> PendingRequest:
-    owner: PendingRequest = job.owner
-    return owner
+def _pending_request(request: ServerRequest) -> PendingRequest:
+    pending: PendingRequest = request.caller_data
+    return pending
--- a/client_proxy/emulator/environment.py
+++ b/client_proxy/emulator/environment.py
@@ -1,6 +1,6 @@
-"""What servers, discovery and clients need of the simulation that they run in.
+"""Protocols for what servers, discovery, clients and proxies need from the simulation that they run in.
 
-They depend on these protocols and not on the simulation, which depends on them.
+They depend on these protocols instead of the simulation, which itself depends on them.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
     @property
     def scenario(self) -> Scenario:
-        """The scenario that is run; its seed seeds all draws."""
+        """The scenario that is run; its seed is part of the seed of every random draw."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The event loop; its clock is that of the event log."""
+        """The event loop, whose clock gives the times in the event log."""
 
     @property
     def event_log(self) -> EventLog:
@@ -38,11 +38,11 @@
 
     @property
     def new_listener(self) -> Callable[[ProtocolFactory], Listener]:
-        """Creates a listener at an address of its own."""
+        """A function that creates a listener at an address of its own."""
 
 
 class ServerEnvironment(Environment, Protocol):
-    """What a server needs."""
+    """What an emulated server needs."""
 
     @property
     def classes(self) -> Mapping[str, RequestClassSpec]:
@@ -50,28 +50,28 @@
 
     @property
     def costly_faults(self) -> Sequence[ActiveFault]:
-        """The faults that make requests cost more at present."""
+        """The active faults that make requests cost more work."""
 
     def deduplication_group(self, request_class: RequestClassSpec, server: ServerSpec) -> DeduplicationGroup:
-        """Return the group of servers that deduplicate this class's requests with this server."""
+        """Return the deduplication group in which this server handles requests of this class."""
 
     def foreign_attempt(self, attempt_id: str, url: bytes) -> ClientAttempt | None:
-        """Return an attempt for a request that no emulated client sent, if such requests are taken."""
+        """Return a new attempt for a request that no emulated client sent; None if those are not accepted."""
 
     def server_crashed(self, name: str) -> None:
-        """Handle the crash of a server that was overloaded while cold."""
+        """Handle the crash of a server that was overloaded while warming up."""
 
 
 class ListeningServer(Protocol):
-    """A server as discovery sees it: what it is, and its listener for each proxy."""
+    """What discovery needs to know about a server."""
 
     @property
     def spec(self) -> ServerSpec:
-        """Its description."""
+        """The server's description in the scenario."""
 
     @property
     def listeners(self) -> Sequence[Listener]:
-        """Its listeners, by proxy."""
+        """The server's listeners by proxy number."""
 
 
 class DiscoveryEnvironment(Environment, Protocol):
@@ -86,9 +86,10 @@
     """A proxy, as the platform controls it.
 
     Attributes:
-        up: it has not been stopped or killed.
-        incarnation: counts its starts.
-        failures: how it ended by itself, and exceptions that nobody caught.
+        address: where it listens.
+        up: whether its process runs.
+        incarnation: the number of its starts.
+        failures: ends of its process that were not asked for, and exceptions that nobody caught.
     """
 
     address: Address
@@ -100,17 +101,17 @@
         """Start a process."""
 
     def stop(self) -> None:
-        """Ask it to shut down gracefully, as by SIGTERM."""
+        """Begin a graceful shutdown, as SIGTERM does."""
 
     def kill(self) -> None:
-        """End it at once, as by SIGKILL."""
+        """End the process at once, as SIGKILL does."""
 
     async def ended(self) -> None:
-        """Wait for its end."""
+        """Wait for the end of the process."""
 
 
 class ClientEnvironment(Environment, Protocol):
-    """What clients need."""
+    """What emulated clients need."""
 
     @property
     def classes(self) -> Mapping[str, RequestClassSpec]:
@@ -133,15 +134,15 @@
 
     @property
     def operators(self) -> Operators:
-        """The operators' settings, for proxies in this process."""
+        """The operators' settings, for proxies that run in this process."""
 
     @property
     def operators_file(self) -> Path | None:
-        """The operators' file, for proxies in processes of their own."""
+        """The operators' file, for proxies that run in processes of their own; None without one."""
 
     @property
     def byzantine_reporters(self) -> Mapping[int, type[GossipNode]]:
-        """By number, the gossip nodes of proxies that report falsely."""
+        """The class of gossip node for each proxy that reports falsely, by proxy number."""
 
     def proxy_config(self, number: int, incarnation: int) -> dict[str, Any]:
-        """Return the platform's configuration of a proxy, as a JSON object."""
+        """Return the configuration that the platform passes to a proxy's start, as a JSON object."""
--- a/client_proxy/emulator/listeners.py
+++ b/client_proxy/emulator/listeners.py
@@ -1,7 +1,7 @@
-"""Where a stand-in listens: on a real loopback socket or in memory, with the ways in which it can be away.
+"""Listeners of emulated servers and discovery, on real loopback sockets or in memory.
 
-Open, it accepts. Held, it is a machine that has vanished: who dials hears nothing. Closed, its process has
-died: who dials is refused. The address stays the same over all of it.
+A listener is open, held (its machine can't be reached) or closed (its process has ended), and keeps its
+address in all three states.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 class Listener(Protocol):
     """A listening address.
 
-    Open, it accepts. Held, it stands for a machine that has vanished: dials are not answered. Closed, it
-    stands for a process that has ended: dials are refused. The address stays the same.
+    While it is open, it accepts connections. While it is held, dials are not answered, as with a machine that
+    can't be reached. While it is closed, dials are refused, as after the end of a process.
     """
 
     address: Address
@@ -32,7 +32,7 @@
         """Accept connections."""
 
     def hold(self) -> None:
-        """Answer no dials."""
+        """Leave dials unanswered."""
 
     def close(self) -> None:
         """Refuse dials."""
@@ -54,7 +54,7 @@
             self._listener.accept()
 
     def hold(self) -> None:
-        """Answer no dials."""
+        """Leave dials unanswered."""
         if self._listener is not None:
             self._listener.hold()
 
@@ -65,21 +65,23 @@
             self._listener = None
 
 
-FILLERS = 4  # connections of our own that fill a held door's queue
+FILLER_CONNECTIONS = 4  # connections with which a held listener fills its own backlog
 
 
 class SocketListener:
-    """A listening socket of the loopback.
+    """A listening socket on a loopback address.
 
-    Held, it stops accepting and fills its own queue, which is set to the shortest: the system then answers
-    no further dial, just as a machine that is not there. No privilege is needed for that."""
+    To be held, it stops accepting, sets its backlog to the shortest length and fills it with connections of
+    its own. The system then answers no further dial, as if the machine could not be reached. This needs no
+    privileges.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, factory: ProtocolFactory, address: Address) -> None:
         self._loop, self._factory = loop, factory
         self._socket: socket.socket | None = None
         self._fillers: list[socket.socket] = []
         self._accepting = False
-        # Bound at once, so that the address is known, and nobody else's, before the door opens.
+        # Bound at once, so that the address is known and reserved before the listener opens.
         self._bind(address)
         self.address: Address = self._socket.getsockname() if self._socket else address
 
@@ -98,22 +100,22 @@
         if not self._accepting:
             self._accepting = True
             self._loop.add_reader(self._socket.fileno(), self._accept)
-        self._unfill()
+        self._close_fillers()
 
     def hold(self) -> None:
-        """Answer no dials."""
+        """Leave dials unanswered."""
         if self._socket is None or not self._accepting:
             return
         self._stop_accepting()
         self._socket.listen(0)
-        for _ in range(FILLERS):
+        for _ in range(FILLER_CONNECTIONS):
             filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
             filler.connect_ex(self.address)
             self._fillers.append(filler)
 
     def close(self) -> None:
         """Refuse dials."""
-        self._unfill()
+        self._close_fillers()
         if self._socket is not None:
             self._stop_accepting()
             self._socket.close()
@@ -124,7 +126,7 @@
             self._accepting = False
             self._loop.remove_reader(self._socket.fileno())
 
-    def _unfill(self) -> None:
+    def _close_fillers(self) -> None:
         for filler in self._fillers:
             filler.close()
         self._fillers.clear()
@@ -133,22 +135,22 @@
         assert self._socket is not None
         while True:
             try:
-                taken, _ = self._socket.accept()
+                connection, _ = self._socket.accept()
             except OSError:
-                return  # nobody waits, or who waited has gone
-            taken.setblocking(False)
-            taken.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self._loop.create_task(self._serve(taken))
+                return  # no connection waits, or the one that waited has ended
+            connection.setblocking(False)
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self._loop.create_task(self._serve(connection))
 
-    async def _serve(self, taken: socket.socket) -> None:
+    async def _serve(self, connection: socket.socket) -> None:
         try:
-            await self._loop.connect_accepted_socket(self._factory, taken)
+            await self._loop.connect_accepted_socket(self._factory, connection)
         except OSError:
-            taken.close()
+            connection.close()
 
 
 def reset_connection(transport: Any) -> None:
-    """End a connection as the system does for a process that died: the peer gets a reset."""
+    """Reset a connection, as the system does when a process is killed."""
     if hasattr(transport, "reset"):
         transport.reset()
         return
--- a/client_proxy/emulator/memory_socket.py
+++ b/client_proxy/emulator/memory_socket.py
@@ -1,4 +1,4 @@
-"""One end of a connection in memory: a program's socket, and its transport once one is attached."""
+"""One end of a connection in memory: a socket, which becomes a transport once a protocol is attached."""
 
 from __future__ import annotations
 
@@ -12,23 +12,31 @@
 
 Address = tuple[str, int]
 
-LINK_S = 0.00005
-"""The delay one way, between any two machines."""
+LINK_DELAY_S = 0.00005
+"""Seconds; the delay in one direction between any two machines."""
 BUFFER_BYTES = 256 * 1024
-"""Sent and not yet read, in one direction, before the writer is paused."""
+"""The number of bytes sent in one direction and not yet read above which the writer is paused."""
 
 
 class SocketNetwork(Protocol):
-    """What a socket needs of its network; `main_loop` carries bytes, whatever becomes of the machines."""
+    """What a socket needs from its network; `main_loop` delivers all data and outlives killed machines."""
 
     main_loop: VirtualLoop
 
     def drop(self, sock: MemorySocket) -> None:
-        """Forget a socket that has ended."""
+        """Remove a socket that has ended."""
 
 
 class MemorySocket:
-    """One end of a connection, as a socket and as an asyncio transport."""
+    """One end of a connection, as a socket and as an asyncio transport.
+
+    Attributes:
+        loop: the loop of the machine whose socket it is; None before a dial begins.
+        peer: the other end; None before the connection is established.
+        sockname: its own address.
+        peername: the other end's address.
+        protocol: the protocol whose transport it is; None as long as it is only a socket.
+    """
 
     def __init__(self, network: SocketNetwork, loop: VirtualLoop | None = None) -> None:
         self._network = network
@@ -37,23 +45,23 @@
         self.sockname: Address = ("127.0.0.1", 0)
         self.peername: Address = ("127.0.0.1", 0)
         self.protocol: asyncio.Protocol | None = None
-        self._received: deque[bytes | None] = deque()  # arrived and not read; None: the end
+        self._received: deque[bytes | None] = deque()  # arrived and not read; None: end of the stream
         self._reading = True
         self._unread_by_peer = 0  # bytes sent and not yet read by the peer
         self._writing_paused = False
-        self._closing = False  # we have closed it
-        self._sending_ended = False  # we have ended our sending
-        self._lost = False  # connection_lost has been called, or is about to be
-        self._peer_ended = False  # the peer sends no more
-        self._was_reset = False  # reset by the peer, with nobody told yet
+        self._closing = False  # this end has closed the connection
+        self._sending_closed = False  # this end has closed its sending direction
+        self._lost = False  # connection_lost has been called or scheduled
+        self._peer_stream_ended = False  # the end of the peer's stream has arrived
+        self._was_reset = False  # reset by the peer before a protocol was attached
 
     # As a socket
 
     def setsockopt(self, *_: Any) -> None:
-        """Take an option, which has no effect."""
+        """Accept a socket option, which has no effect."""
 
     def send(self, data: bytes) -> int:
-        """Send bytes, all of them at once.
+        """Send all bytes at once and return their number.
 
         Raises:
             BrokenPipeError: the connection has ended.
@@ -64,7 +72,7 @@
         return len(data)
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """Return what has arrived without taking it, as with `MSG_PEEK`.
+        """Return bytes that have arrived and keep them in the buffer, as with `MSG_PEEK`.
 
         Raises:
             ConnectionResetError: the peer has reset the connection.
@@ -73,7 +81,7 @@
         if self._was_reset:
             raise ConnectionResetError(errno.ECONNRESET, "reset")
         if not self._received:
-            raise BlockingIOError(errno.EAGAIN, "nothing there")
+            raise BlockingIOError(errno.EAGAIN, "no data")
         return (self._received[0] or b"")[:size]
 
     # As a transport
@@ -82,13 +90,13 @@
         """Become the transport of `protocol`."""
         self.loop, self.protocol = loop, protocol
         loop.call_soon(protocol.connection_made, self)
-        loop.call_soon(self._pump)
+        loop.call_soon(self._deliver_received)
         if self._was_reset:
             self._end(ConnectionResetError(errno.ECONNRESET, "reset"))
         return self
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Return `peername` or `sockname`."""
+        """Return the address named `peername` or `sockname`; `default` for any other name."""
         return {"peername": self.peername, "sockname": self.sockname}.get(name, default)
 
     def is_closing(self) -> bool:
@@ -96,43 +104,43 @@
         return self._closing or self._lost
 
     def is_reading(self) -> bool:
-        """Return whether the protocol gets what arrives."""
+        """Return whether data that arrives is passed to the protocol."""
         return self._reading and not self.is_closing()
 
     def pause_reading(self) -> None:
-        """Keep what arrives."""
+        """Keep data that arrives in the buffer."""
         self._reading = False
 
     def resume_reading(self) -> None:
-        """Hand over what has arrived, and what arrives."""
+        """Pass buffered data, and data that arrives, to the protocol again."""
         if not self._reading:
             self._reading = True
             if self.loop is not None:
-                self.loop.call_soon(self._pump)
+                self.loop.call_soon(self._deliver_received)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Take limits, which have no effect: the buffer's size is fixed."""
+        """Accept limits, which have no effect: the size of the buffer is fixed."""
 
     def get_write_buffer_size(self) -> int:
-        """Return the bytes that the peer's buffer has no room for."""
+        """Return the number of unread bytes beyond the size of the buffer."""
         return max(0, self._unread_by_peer - BUFFER_BYTES)
 
     def write(self, data: bytes) -> None:
         """Send bytes."""
-        if not self.is_closing() and not self._sending_ended:
+        if not self.is_closing() and not self._sending_closed:
             self._transmit(bytes(data))
 
     def writelines(self, pieces: Any) -> None:
-        """Send pieces of bytes."""
+        """Send several pieces of bytes."""
         self.write(b"".join(pieces))
 
     def close(self) -> None:
-        """Close the connection after what was written."""
+        """Close the connection after the bytes that were written."""
         if self.is_closing():
             return
         self._closing = True
-        if not self._sending_ended:
-            self._signal(lambda peer: peer._arrive(None))
+        if not self._sending_closed:
+            self._call_peer_later(lambda peer: peer._receive(None))
         self._end(None)
 
     def can_write_eof(self) -> bool:
@@ -140,57 +148,57 @@
         return True
 
     def write_eof(self) -> None:
-        """End our sending alone: what comes is still read."""
-        if not self.is_closing() and not self._sending_ended:
-            self._sending_ended = True
-            self._signal(lambda peer: peer._arrive(None))
+        """Close the sending direction only; data that arrives is still read."""
+        if not self.is_closing() and not self._sending_closed:
+            self._sending_closed = True
+            self._call_peer_later(lambda peer: peer._receive(None))
 
     def abort(self) -> None:
-        """Close the connection."""
+        """Close the connection, as `close` does."""
         self.close()
 
     def reset(self) -> None:
-        """End it at once, and the peer with an error, as the system does for a process that died."""
+        """End the connection at once; the peer gets a reset, as when a process has been killed."""
         if not self._lost:
             self._closing = True
-            self._signal(MemorySocket._handle_reset)
+            self._call_peer_later(MemorySocket._handle_reset)
             self._end(None)
 
-    # On the way
+    # Data on the way
 
     def _transmit(self, data: bytes) -> None:
         if not data or self.peer is None:
             return
         self._unread_by_peer += len(data)
-        self._signal(lambda peer: peer._arrive(data))
+        self._call_peer_later(lambda peer: peer._receive(data))
         if self._unread_by_peer > BUFFER_BYTES and not self._writing_paused and self.protocol is not None:
             self._writing_paused = True
             self.protocol.pause_writing()
 
-    def _signal(self, arrive: Callable[[MemorySocket], None]) -> None:
-        """Let something arrive at the peer after the link's delay, carried by the main loop."""
+    def _call_peer_later(self, action: Callable[[MemorySocket], None]) -> None:
+        """Call a function with the peer after the link's delay, on the main loop."""
         peer = self.peer
         if peer is not None:
-            self._network.main_loop.call_later(LINK_S, arrive, peer)
+            self._network.main_loop.call_later(LINK_DELAY_S, action, peer)
 
-    def _arrive(self, data: bytes | None) -> None:
+    def _receive(self, data: bytes | None) -> None:
         if self._lost:
-            # Nobody reads here any more: what is written to it is answered by a reset.
+            # The connection has ended here: further data is answered by a reset.
             if data is not None:
-                self._signal(MemorySocket._handle_reset)
+                self._call_peer_later(MemorySocket._handle_reset)
             return
-        if self._peer_ended:
+        if self._peer_stream_ended:
             return
-        self._peer_ended = data is None
+        self._peer_stream_ended = data is None
         self._received.append(data)
-        self._schedule_pump()
+        self._schedule_delivery()
 
-    def _schedule_pump(self) -> None:
+    def _schedule_delivery(self) -> None:
         if self.loop is not None and self.protocol is not None and self._reading:
-            self.loop.call_soon(self._pump)
+            self.loop.call_soon(self._deliver_received)
 
-    def _pump(self) -> None:
-        """Hand over what has come, as long as the program reads."""
+    def _deliver_received(self) -> None:
+        """Pass buffered data to the protocol as long as it reads."""
         while self._received and self._reading and not self.is_closing() and self.protocol is not None:
             data = self._received.popleft()
             if data is None:
--- a/client_proxy/emulator/network.py
+++ b/client_proxy/emulator/network.py
@@ -1,10 +1,10 @@
-"""A network in memory for `virtual` loops: addresses, connections, bytes in order, ends and resets.
+"""A network in memory for virtual event loops: listeners, connections and datagrams.
 
-It behaves as TCP on one machine does, as far as a program can tell: what is written arrives in order a
-fixed time later; a close arrives after what was written before it; what is written to a closed end is
-answered by a reset; a reader that pauses fills the writer's buffer; a listener that does not accept lets
-connections wait, and a closed one refuses them. Delays between zones are added by the servers, the
-same as on real sockets.
+Connections behave like TCP on one machine. Bytes arrive in order after a fixed delay, and the end of the
+stream after the bytes written before it. Bytes written to a closed connection are answered by a reset. A
+reader that pauses lets the writer's buffer fill up. A listener that does not accept keeps dials waiting, and
+one that is closed refuses them. The emulated servers add the delays between zones, as they do on real
+sockets.
 """
 
 from __future__ import annotations
@@ -15,14 +15,24 @@
 from collections.abc import Callable
 from typing import Any
 
-from client_proxy.emulator.memory_socket import LINK_S, Address, MemorySocket
+from client_proxy.emulator.memory_socket import LINK_DELAY_S, Address, MemorySocket
 from client_proxy.emulator.virtual import VirtualLoop
 
 FIRST_PORT = 20_000
+"""Free ports are handed out from the next number on."""
 
 
 class MemoryServer:
-    """What `create_server` gives: enough of `asyncio.Server`."""
+    """A listener on the network; it has the part of `asyncio.Server` that the daemon uses.
+
+    Attributes:
+        loop: the loop of the machine that listens.
+        factory: creates the protocol of an accepted connection.
+        address: where it listens.
+        accepting: whether it accepts connections.
+        waiting: dials that wait until it accepts: the dialling socket, and the future that ends the dial.
+        sockets: the listener itself, as the one socket of an `asyncio.Server`.
+    """
 
     def __init__(self, network: MemoryNetwork, loop: VirtualLoop, factory: Any, address: Address) -> None:
         self._network = network
@@ -38,18 +48,18 @@
         return self.address
 
     def close(self) -> None:
-        """Give up the address and refuse the dials that wait."""
+        """Free the address and refuse all waiting dials."""
         self._network.unlisten(self)
         while self.waiting:
             _, dial = self.waiting.popleft()
             _end_dial_later(dial, ConnectionRefusedError(errno.ECONNREFUSED, "refused"))
 
     def hold(self) -> None:
-        """Accept nothing: who connects waits, as for a machine that does not answer."""
+        """Accept no connections: dials wait unanswered, as with a machine that can't be reached."""
         self.accepting = False
 
     def accept(self) -> None:
-        """Accept connections, also those that wait."""
+        """Accept connections, waiting dials first."""
         self.accepting = True
         while self.waiting:
             sock, dial = self.waiting.popleft()
@@ -58,49 +68,52 @@
 
 
 def _end_dial_later(dial: asyncio.Future[None], error: Exception | None) -> None:
-    """End a dial one trip later, on the dialling machine's own loop."""
+    """End a dial after the link's delay, on the dialling machine's loop; `error` is None if it succeeded."""
 
-    def end() -> None:
+    def end_dial() -> None:
         if not dial.done():
             if error is None:
                 dial.set_result(None)
             else:
                 dial.set_exception(error)
 
-    dial.get_loop().call_later(LINK_S, end)
+    dial.get_loop().call_later(LINK_DELAY_S, end_dial)
 
 
 class MemoryPort:
-    """A UDP socket's stand-in (`membership.link.Port`): whole datagrams, a trip later, or lost."""
+    """A UDP port in memory, in place of `membership.link.Port`.
+
+    A datagram arrives whole after the link's delay, or it is lost.
+    """
 
     def __init__(self, network: MemoryNetwork, loop: VirtualLoop, address: Address) -> None:
         self._network, self._loop, self.address = network, loop, address
         self._received: Callable[[bytes, Address], float] | None = None
-        self._deaf_until_s = 0.0
+        self._dropping_until_s = 0.0
         network.ports[address] = self
 
     def start(self, received: Callable[[bytes, Address], float]) -> None:
-        """Hand datagrams to `received`, which returns for how many seconds it takes no more."""
+        """Pass datagrams to `received`, which returns for how many seconds further datagrams are dropped."""
         self._received = received
 
     def send(self, data: bytes, to: Address) -> None:
         """Send a datagram."""
         self._network.datagrams += 1
-        if not self._network.loses(self.address, to):
-            self._network.main_loop.call_later(LINK_S, self._network.deliver, data, self.address, to)
+        if not self._network.is_datagram_lost(self.address, to):
+            self._network.main_loop.call_later(LINK_DELAY_S, self._network.deliver, data, self.address, to)
 
-    def arrive(self, data: bytes, source: Address) -> None:
-        """Take a datagram from the network."""
-        if not self._loop.dead:
-            self._loop.call_soon(self._hand_over, data, source)
+    def receive(self, data: bytes, source: Address) -> None:
+        """Receive a datagram from the network."""
+        if not self._loop.killed:
+            self._loop.call_soon(self._deliver_datagram, data, source)
 
-    def _hand_over(self, data: bytes, source: Address) -> None:
-        # What comes while nothing is wanted is dropped, as by a system whose buffer is full.
-        if self._received is not None and self._loop.time() >= self._deaf_until_s:
-            self._deaf_until_s = self._loop.time() + self._received(data, source)
+    def _deliver_datagram(self, data: bytes, source: Address) -> None:
+        # Datagrams that arrive before the receiver wants more are dropped, as with a full receive buffer.
+        if self._received is not None and self._loop.time() >= self._dropping_until_s:
+            self._dropping_until_s = self._loop.time() + self._received(data, source)
 
     def close(self) -> None:
-        """Give up the address."""
+        """Free the address and receive nothing more."""
         self._received = None
         if self._network.ports.get(self.address) is self:
             del self._network.ports[self.address]
@@ -110,38 +123,38 @@
     """All addresses and connections of one run.
 
     Attributes:
-        main_loop: the simulation's own loop, which carries everything, whatever becomes of the machines.
+        main_loop: the simulation's own loop, which delivers all data; it outlives machines that are killed.
         ports: datagram ports by address.
-        datagrams: number of datagrams sent.
-        loses: whether a datagram from one address to another gets lost.
+        datagrams: the number of datagrams sent.
+        is_datagram_lost: returns whether a datagram from one address to another is lost.
     """
 
     def __init__(self, main_loop: VirtualLoop) -> None:
         self.main_loop = main_loop
         self._listeners: dict[Address, MemoryServer] = {}
-        self._open: dict[VirtualLoop, dict[MemorySocket, None]] = {}
+        self._open_sockets: dict[VirtualLoop, dict[MemorySocket, None]] = {}
         self._last_port = FIRST_PORT
         self.ports: dict[Address, MemoryPort] = {}
         self.datagrams = 0
-        self.loses: Callable[[Address, Address], bool] = lambda source, to: False
+        self.is_datagram_lost: Callable[[Address, Address], bool] = lambda source, to: False
         main_loop.network = self
 
     def join(self, loop: VirtualLoop) -> VirtualLoop:
-        """Put a machine's loop on the network."""
+        """Connect a machine's loop to the network, and return the loop."""
         loop.network = self
         return loop
 
-    def socket(self, family: int) -> Any:  # stands in for socket.socket
-        """Return a new socket; stands in for `socket.socket`."""
+    def socket(self, family: int) -> Any:  # replaces socket.socket
+        """Return a new socket; replaces `socket.socket` in programs that run on this network."""
         return MemorySocket(self)
 
     def free_port(self) -> int:
-        """Return a port that nobody uses."""
+        """Return a port number that was not used before."""
         self._last_port += 1
         return self._last_port
 
     def listen(self, loop: VirtualLoop, factory: Any, address: Address) -> MemoryServer:
-        """Listen at an address; port 0: any.
+        """Listen at an address; port 0 stands for any free port.
 
         Raises:
             OSError: the address is in use.
@@ -154,26 +167,26 @@
         return listener
 
     def unlisten(self, listener: MemoryServer) -> None:
-        """Give up a listener's address."""
+        """Free a listener's address."""
         if self._listeners.get(listener.address) is listener:
             del self._listeners[listener.address]
 
     async def connect(self, loop: VirtualLoop, sock: MemorySocket, address: Address) -> None:
-        """Connect a socket.
+        """Connect a socket to an address; waits as long as the listener does not accept.
 
         Raises:
-            ConnectionRefusedError: nobody listens there.
+            ConnectionRefusedError: nobody listens at the address.
         """
         sock.loop, sock.peername = loop, address
         dial = loop.create_future()
-        self.main_loop.call_later(LINK_S, self._reach, address, sock, dial)
+        self.main_loop.call_later(LINK_DELAY_S, self._dial_arrived, address, sock, dial)
         await dial
 
-    def _reach(self, address: Address, sock: MemorySocket, dial: asyncio.Future[None]) -> None:
+    def _dial_arrived(self, address: Address, sock: MemorySocket, dial: asyncio.Future[None]) -> None:
         listener = self._listeners.get(address)
         if dial.done() or dial.get_loop().is_closed():
             return
-        if listener is None or listener.loop.dead:
+        if listener is None or listener.loop.killed:
             _end_dial_later(dial, ConnectionRefusedError(errno.ECONNREFUSED, "refused"))
         elif not listener.accepting:
             listener.waiting.append((sock, dial))
@@ -181,36 +194,36 @@
             self.establish(listener, sock, dial)
 
     def establish(self, listener: MemoryServer, sock: MemorySocket, dial: asyncio.Future[None]) -> None:
-        """Connect a dialling socket with a listener."""
-        here = MemorySocket(self, listener.loop)
-        here.peer, sock.peer = sock, here
-        here.sockname, here.peername = listener.address, ("127.0.0.1", self.free_port())
-        sock.sockname = here.peername
-        for end in (here, sock):
+        """Connect a dialling socket with a new socket of the listener's machine."""
+        accepted = MemorySocket(self, listener.loop)
+        accepted.peer, sock.peer = sock, accepted
+        accepted.sockname, accepted.peername = listener.address, ("127.0.0.1", self.free_port())
+        sock.sockname = accepted.peername
+        for end in (accepted, sock):
             if end.loop is not None:
-                self._open.setdefault(end.loop, {})[end] = None
-        here.attach(listener.loop, listener.factory())
+                self._open_sockets.setdefault(end.loop, {})[end] = None
+        accepted.attach(listener.loop, listener.factory())
         _end_dial_later(dial, None)
 
     def drop(self, sock: MemorySocket) -> None:
-        """Forget a socket that has ended."""
+        """Remove a socket that has ended."""
         if sock.loop is not None:
-            self._open.get(sock.loop, {}).pop(sock, None)
+            self._open_sockets.get(sock.loop, {}).pop(sock, None)
 
     def kill(self, loop: VirtualLoop) -> None:
-        """A machine's process dies: its connections are reset, its addresses refuse."""
+        """Kill a machine: its connections are reset, and its addresses refuse dials."""
         loop.kill()
-        for listener in [held for held in self._listeners.values() if held.loop is loop]:
+        for listener in [other for other in self._listeners.values() if other.loop is loop]:
             listener.close()
-        for sock in list(self._open.pop(loop, {})):
+        for sock in list(self._open_sockets.pop(loop, {})):
             sock.reset()
 
     def deliver(self, data: bytes, source: Address, to: Address) -> None:
-        """Hand a datagram to the port at its address, if there is one."""
+        """Pass a datagram to the port at its address, if there is one."""
         port = self.ports.get(to)
         if port is not None:
-            port.arrive(data, source)
+            port.receive(data, source)
 
     def open_socket_count(self, loop: VirtualLoop) -> int:
         """Return the number of a machine's open sockets."""
-        return len(self._open.get(loop, {}))
+        return len(self._open_sockets.get(loop, {}))
--- a/client_proxy/emulator/process_model.py
+++ b/client_proxy/emulator/process_model.py
@@ -1,8 +1,8 @@
 """A model of one server's process: cores, slots, queue, warming up and congestion, without I/O or a clock.
 
-The caller gives the times, in seconds that never run backwards; in between the model computes what happened,
-event by event, so that a completion is exact however seldom it is asked. Work is in milliseconds on a core
-of speed 1.
+The caller passes the current time, in seconds that never decrease. The model computes event by event what
+happened since the last call, so completion times are exact however seldom it is called. Work is given in
+milliseconds on a core of speed 1.
 """
 
 from __future__ import annotations
@@ -17,37 +17,45 @@
 from client_proxy.emulator.scenario import LoadReportSettings, ServerType
 
 WARM_UP_STEPS = 32
-"""A server that warms up by time does so in so many steps."""
+"""The number of steps in which a server that warms up by time gains capacity."""
 STEP_TOLERANCE = 1e-6
+"""In steps; added before rounding down, so that a rounding error of the time does not lose a step."""
 CONGESTION_CHECK_S = 0.1
-"""How often a congested server is checked between events."""
+"""Seconds; the longest time between two checks of a server that is congested or may become so."""
 MAX_CONGESTION_THRESHOLD = 0.7
-"""Of slots and queue together: a server is congested at the latest when so much of them is in use."""
+"""A share of slots and queue places together; the load at which a server gets congested is at most this."""
 NEGLIGIBLE_WORK_MS = 1e-7
-"""Less work than this is a rounding error."""
+"""A request with no more work left than this is complete; the rest is a rounding error."""
 LATENCY_SMOOTHING = 0.1
-LATE_SNAPSHOTS = 2
-"""Snapshots that are kept beside those of the reports' delay."""
+"""The weight of the latest service time in the moving average that load reports give as latency."""
+EXTRA_SNAPSHOTS = 2
+"""The number of snapshots kept beyond those that the delay of load reports spans."""
 
 
 class Admission(Enum):
-    """What became of a request that was offered."""
+    """The result of offering a request to the model."""
 
     ACCEPTED = "accepted"
     FULL = "full"
-    CRASHED = "crashed"  # the server was cold, and is down from now on
+    CRASHED = "crashed"  # the server was overloaded while warming up, and its process has ended
 
 
 @dataclass(slots=True, eq=False)
 class ServerRequest:
-    """A request at a server.
+    """A request that a server has queued, runs or has finished.
 
     Attributes:
-        owner: the caller's own; the model never reads it.
-        expired: dropped before it started, as its time was up.
+        caller_data: the caller's data about the request; the model never reads it.
+        work_ms: the whole work, in milliseconds on a core of speed 1.
+        arrived_s: when it was offered.
+        expires_s: when its client stops waiting for it.
+        remaining_ms: the work that is left, once it has started.
+        started_s: when it started; None while it is queued.
+        ended_s: when it was completed; None before that, or if it never ran.
+        expired: whether it was dropped from the queue because `expires_s` had passed.
     """
 
-    owner: Any
+    caller_data: Any
     work_ms: float
     arrived_s: float
     expires_s: float = float("inf")
@@ -59,7 +67,7 @@
 
 @dataclass(slots=True)
 class LoadSnapshot:
-    """The load at one time; its figures are named as in load reports."""
+    """The load at one time, in fields that have the names of load report fields."""
 
     at_s: float
     number: int
@@ -71,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecentWork:
-    """Work that arrived at a cold server."""
+    """Work that arrived at a time while the server was warming up."""
 
     at_s: float
     work_ms: float
@@ -79,21 +87,25 @@
 
 @dataclass(slots=True)
 class WorkProgress:
-    """What happened up to the time asked for, in order."""
+    """The requests that started and that ended since the last call, each in order of time."""
 
     started: list[ServerRequest] = field(default_factory=list)
     ended: list[ServerRequest] = field(default_factory=list)
 
 
 class ProcessModel:
-    """The model. `advance` brings it up to a time; `next_event_s` says when to do so next.
+    """A simulated server process.
+
+    `advance` computes the state at a time; `next_event_s` returns when it has to be called next.
 
     Attributes:
-        slowdown: by a fault: work takes so many times as long.
-        crashed: it was overloaded while cold.
-        congested_since_s: None while it is not congested.
-        busy_ms: core time that it has used.
-        completed: number of requests that it has run.
+        slots: the number of requests that can run at once.
+        queue_capacity: the number of requests that can wait for a slot.
+        slowdown: the factor by which faults prolong all work.
+        crashed: whether it was overloaded while warming up.
+        congested_since_s: when it became congested; None while it is not congested.
+        busy_ms: core time used, in milliseconds.
+        completed: the number of requests that ran to their end.
     """
 
     def __init__(
@@ -124,8 +136,8 @@
         self._recent_work_ms = 0.0
         self._at_s = now_s
         self._freezes = 0
-        self._mean_in_flight = 0.0  # over the congestion window
-        self._relieved_since_s: float | None = None
+        self._mean_in_flight = 0.0  # running and queued requests, a moving average over the congestion window
+        self._below_exit_use_since_s: float | None = None
         self._was_congested = False
         self._latency_ms = 0.0
         self._reports, self._seed = reports, seed
@@ -137,23 +149,23 @@
 
     @property
     def in_flight(self) -> int:
-        """The number of requests that run or wait."""
+        """The number of requests that run or are queued."""
         return len(self.running) + len(self.queued)
 
     @property
     def frozen(self) -> bool:
-        """Whether it stands still."""
+        """Whether the process is frozen: it makes no progress."""
         return self._freezes > 0
 
     def warmth(self, now_s: float) -> float:
-        """Return the share of its full capacity that it has."""
+        """Return its present capacity as a share of its full capacity; 1 once it is warm."""
         if self._cold_since_s is None:
             return 1.0
         server_type = self.server_type
         if server_type.warm_up_requests:
             progress = self.completed / server_type.warm_up_requests
         elif server_type.warm_up_s:
-            # In steps, as its speed must not change between two events.
+            # In steps: the speed has to be constant between two events.
             elapsed = (now_s - self._cold_since_s) / server_type.warm_up_s
             progress = int(elapsed * WARM_UP_STEPS + STEP_TOLERANCE) / WARM_UP_STEPS
         else:
@@ -171,7 +183,7 @@
         return speed / self.server_type.congestion_slowdown if self.congested_since_s is not None else speed
 
     def _work_rate(self, now_s: float) -> float:
-        """Return the work done on each running job, in milliseconds a second."""
+        """Return the work done on each running request, in milliseconds of work a second."""
         if self._freezes or not self.running:
             return 0.0
         return 1000.0 * self.speed(now_s) * min(1.0, self.server_type.cores / len(self.running))
@@ -179,17 +191,17 @@
     # Time
 
     def next_event_s(self) -> float | None:
-        """Return when the next job ends or the speed changes; None if nothing happens by itself."""
+        """Return when the next request ends or the speed may change; None if neither is to be expected."""
         times = []
         rate = self._work_rate(self._at_s)
         if rate > 0:
-            times.append(self._at_s + min(job.remaining_ms for job in self.running) / rate)
+            times.append(self._at_s + min(request.remaining_ms for request in self.running) / rate)
         warm_up_step_s = self._next_warm_up_step_s()
         if warm_up_step_s is not None:
             times.append(warm_up_step_s)
         server_type = self.server_type
-        may_congest = server_type.congestion_threshold and self.in_flight > server_type.cores
-        if self.congested_since_s is not None or may_congest:
+        may_become_congested = server_type.congestion_threshold and self.in_flight > server_type.cores
+        if self.congested_since_s is not None or may_become_congested:
             times.append(self._at_s + CONGESTION_CHECK_S)
         return min(times, default=None)
 
@@ -203,58 +215,58 @@
         return self._cold_since_s + (steps + 1) * step_s
 
     def advance(self, now_s: float) -> WorkProgress:
-        """Compute what happened up to `now_s`."""
+        """Compute the state at `now_s`; return what started and ended on the way."""
         progress = WorkProgress()
-        self._start_jobs(progress)
+        self._start_queued(progress)
         while self._at_s < now_s:
             event_s = self.next_event_s()
-            to_s = now_s if event_s is None else min(now_s, event_s)
-            self._advance_step(to_s, progress)
+            until_s = now_s if event_s is None else min(now_s, event_s)
+            self._advance_step(until_s, progress)
         return progress
 
-    def _advance_step(self, to_s: float, progress: WorkProgress) -> None:
-        """Advance over a span in which nothing starts or ends before its end."""
-        rate, span_s = self._work_rate(self._at_s), to_s - self._at_s
-        self._take_snapshots(to_s)
-        self._update_congestion(to_s, span_s)
-        done = []
-        for job in self.running:
-            job.remaining_ms -= rate * span_s
-            if job.remaining_ms <= NEGLIGIBLE_WORK_MS and rate:
-                done.append(job)
+    def _advance_step(self, until_s: float, progress: WorkProgress) -> None:
+        """Advance to `until_s`, before which no running request ends and the speed does not change."""
+        rate, span_s = self._work_rate(self._at_s), until_s - self._at_s
+        self._take_snapshots(until_s)
+        self._update_congestion(until_s, span_s)
+        completed_now = []
+        for request in self.running:
+            request.remaining_ms -= rate * span_s
+            if request.remaining_ms <= NEGLIGIBLE_WORK_MS and rate:
+                completed_now.append(request)
         if rate:
             self.busy_ms += 1000.0 * span_s * min(self.server_type.cores, len(self.running))
-        self._at_s = to_s
-        for job in done:
-            self._complete(job)
-            progress.ended.append(job)
-        self._start_jobs(progress)
-
-    def _complete(self, job: ServerRequest) -> None:
-        self.running.remove(job)
-        job.ended_s = self._at_s
+        self._at_s = until_s
+        for request in completed_now:
+            self._complete(request)
+            progress.ended.append(request)
+        self._start_queued(progress)
+
+    def _complete(self, request: ServerRequest) -> None:
+        self.running.remove(request)
+        request.ended_s = self._at_s
         self.completed += 1
-        service_ms = 1000.0 * (self._at_s - (job.started_s or self._at_s))
+        service_ms = 1000.0 * (self._at_s - (request.started_s or self._at_s))
         self._latency_ms += (LATENCY_SMOOTHING if self._latency_ms else 1.0) * (service_ms - self._latency_ms)
 
-    def _start_jobs(self, progress: WorkProgress) -> None:
+    def _start_queued(self, progress: WorkProgress) -> None:
         while self.queued and len(self.running) < self.slots and not self._freezes:
-            job = self.queued.popleft()
-            if self.server_type.drops_expired and self._at_s > job.expires_s:
-                job.expired = True
-                progress.ended.append(job)
+            request = self.queued.popleft()
+            if self.server_type.drops_expired and self._at_s > request.expires_s:
+                request.expired = True
+                progress.ended.append(request)
                 continue
-            job.started_s, job.remaining_ms = self._at_s, job.work_ms
-            self.running.append(job)
-            progress.started.append(job)
-
-    def _take_snapshots(self, to_s: float) -> None:
-        """Record the load at each report period up to `to_s`, and forget what no report can use."""
-        # Of a long span only the last few snapshots can still be reported.
-        usable = int(self._reports.delay_ms / self._reports.period_ms) + LATE_SNAPSHOTS
-        skipped = max(0, int((to_s - self._next_snapshot_s) / self._period_s) - usable)
+            request.started_s, request.remaining_ms = self._at_s, request.work_ms
+            self.running.append(request)
+            progress.started.append(request)
+
+    def _take_snapshots(self, until_s: float) -> None:
+        """Record the load at each report period up to `until_s`; delete snapshots that no report can use."""
+        # After a long span only its last few snapshots can still be reported; the others are skipped.
+        usable_snapshots = int(self._reports.delay_ms / self._reports.period_ms) + EXTRA_SNAPSHOTS
+        skipped = max(0, int((until_s - self._next_snapshot_s) / self._period_s) - usable_snapshots)
         self._next_snapshot_s += skipped * self._period_s
-        while self._next_snapshot_s <= to_s:
+        while self._next_snapshot_s <= until_s:
             number = self._snapshots[-1].number + 1 + skipped
             skipped = 0
             self._snapshots.append(
@@ -268,11 +280,11 @@
                 )
             )
             self._next_snapshot_s += self._period_s
-        reported_s = to_s - self._reports.delay_ms / 1000.0
-        while len(self._snapshots) > LATE_SNAPSHOTS and self._snapshots[1].at_s <= reported_s:
+        reported_s = until_s - self._reports.delay_ms / 1000.0
+        while len(self._snapshots) > EXTRA_SNAPSHOTS and self._snapshots[1].at_s <= reported_s:
             self._snapshots.popleft()
 
-    def _update_congestion(self, to_s: float, span_s: float) -> None:
+    def _update_congestion(self, until_s: float, span_s: float) -> None:
         server_type = self.server_type
         if not server_type.congestion_threshold:
             return
@@ -280,16 +292,19 @@
         self._mean_in_flight += (self.in_flight - self._mean_in_flight) * decay
         if self.congested_since_s is None:
             if self._mean_in_flight > self._congestion_limit() and not self._was_congested:
-                self.congested_since_s, self._was_congested = to_s, True
-                self._relieved_since_s = None
+                self.congested_since_s, self._was_congested = until_s, True
+                self._below_exit_use_since_s = None
             return
         if len(self.running) / server_type.cores >= server_type.congestion_exit_use:
-            self._relieved_since_s = None
-        elif self._relieved_since_s is None:
-            self._relieved_since_s = to_s
-        relieved_since_s = self._relieved_since_s
-        relieved = relieved_since_s is not None and to_s - relieved_since_s >= server_type.congestion_exit_s
-        if relieved or to_s - self.congested_since_s >= server_type.congestion_max_s:
+            self._below_exit_use_since_s = None
+        elif self._below_exit_use_since_s is None:
+            self._below_exit_use_since_s = until_s
+        below_exit_use_since_s = self._below_exit_use_since_s
+        has_recovered = (
+            below_exit_use_since_s is not None
+            and until_s - below_exit_use_since_s >= server_type.congestion_exit_s
+        )
+        if has_recovered or until_s - self.congested_since_s >= server_type.congestion_max_s:
             self.congested_since_s = None
 
     def _congestion_limit(self) -> float:
@@ -297,20 +312,25 @@
         limit = cores + self.server_type.congestion_threshold * sqrt(cores)
         return min(limit, MAX_CONGESTION_THRESHOLD * (self.slots + self.queue_capacity))
 
-    # Events: the caller advances the model to the same time first
+    # Events. The caller has advanced the model to the time of the event before it calls these methods.
 
-    def offer(self, job: ServerRequest) -> Admission:
-        """Offer a request that has arrived completely."""
-        if self._cold_since_s is not None and self._is_overloaded_while_cold(job.arrived_s, job.work_ms):
+    def offer(self, request: ServerRequest) -> Admission:
+        """Offer a request that has arrived completely; return whether the server accepted it."""
+        if self._cold_since_s is not None and self._is_overloaded_while_cold(
+            request.arrived_s, request.work_ms
+        ):
             self.crashed = True
             return Admission.CRASHED
         if len(self.running) >= self.slots and len(self.queued) >= self.queue_capacity:
             return Admission.FULL
-        self.queued.append(job)
+        self.queued.append(request)
         return Admission.ACCEPTED
 
     def _is_overloaded_while_cold(self, now_s: float, work_ms: float) -> bool:
-        """Count work that arrives at the cold server, also what it rejects; return whether it is too much."""
+        """Count work that arrives while the server warms up; return whether it overloads the server.
+
+        Work that the server rejects counts too.
+        """
         warmth = self.warmth(now_s)
         if warmth >= 1.0:
             self._cold_since_s = None
@@ -323,19 +343,19 @@
         capacity_ms = self.server_type.cores * self.server_type.speed * warmth * self._crash_window_ms
         return self._recent_work_ms > self._crash_multiple * capacity_ms
 
-    def cancel(self, job: ServerRequest) -> bool:
-        """Handle the end of a job's connection; return whether the job was dropped.
+    def cancel(self, request: ServerRequest) -> bool:
+        """Handle the end of a request's connection; return whether the request was dropped.
 
-        Queued work is dropped if the server type does so; running work goes on.
+        A queued request is dropped if the server type cancels queued requests; a running one goes on.
         """
         cancels = self.server_type.cancellation == "queued"
-        if job.started_s is None and cancels and job in self.queued:
-            self.queued.remove(job)
+        if request.started_s is None and cancels and request in self.queued:
+            self.queued.remove(request)
             return True
         return False
 
     def freeze(self) -> None:
-        """Stand still until as many calls of `thaw`."""
+        """Stop all progress until `thaw` has been called as often as `freeze`."""
         self._freezes += 1
 
     def thaw(self) -> None:
@@ -343,7 +363,7 @@
         self._freezes -= 1
 
     def report(self, now_s: float) -> dict[str, float]:
-        """Return the figures of a load report: late, and with noise."""
+        """Return the fields of a load report: the load as it was before the report delay, with noise."""
         reported_s = now_s - self._reports.delay_ms / 1000.0
         reported = self._snapshots[0]
         for snapshot in self._snapshots:
@@ -358,20 +378,21 @@
 
 
 class DeduplicationGroup:
-    """Servers that drop repeats of an idempotency key: what one has started, all of them know at once."""
+    """The idempotency keys that a group of servers has started, which all of its servers know at once."""
 
     def __init__(self, window_ms: float) -> None:
         self._window_us = round(window_ms * 1000)
-        self._first_start_us: dict[str, int] = {}  # by key, oldest first
+        self._first_start_us: dict[str, int] = {}  # start of the first run by key, oldest first
 
     def __len__(self) -> int:
-        """Return the number of keys that are remembered."""
+        """Return the number of stored keys."""
         return len(self._first_start_us)
 
     def start(self, key: str, now_s: float) -> bool:
-        """Record that a run of this key starts; return whether it is a repeat, whose effect is dropped.
+        """Record that a request with this key starts; return whether it is a repeat, whose effect is dropped.
 
-        The window is counted from the start of the first run, in whole microseconds, its end excluded.
+        The deduplication window begins at the start of the key's first run. It is computed in whole
+        microseconds, and its end is excluded.
         """
         now_us = round(now_s * 1e6)
         while self._first_start_us:
--- a/client_proxy/emulator/process_proxy.py
+++ b/client_proxy/emulator/process_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy in a process of its own, started as the platform starts it."""
+"""A proxy in a process of its own, started with the arguments and variables that the platform passes."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
     """A proxy that listens on a loopback address.
 
     Args:
-        environment: the simulation.
+        environment: the simulation's environment for proxies.
         number: the proxy's number.
-        folder: for its configuration and its log.
-        build: a checkout whose daemon is run; None: this one.
+        folder: the folder for its configuration file and its log file.
+        build: the checkout whose daemon is run; None: this one.
 
     Attributes:
         address: where it listens.
-        up: it has not been stopped or killed.
-        incarnation: counts its starts.
-        failures: how it ended by itself.
+        up: whether its process runs; false from the moment it is killed.
+        incarnation: the number of its starts.
+        failures: a line for each time that its process ended without being stopped or killed.
     """
 
     def __init__(self, environment: ProxyEnvironment, number: int, folder: Path, build: Path | None) -> None:
@@ -67,18 +67,18 @@
         self._watcher = self._environment.loop.create_task(self._watch(self._process))
 
     async def _watch(self, process: asyncio.subprocess.Process) -> None:
-        """Record an end that nobody asked for."""
+        """Wait for the end of the process, and record it as a failure unless it was asked for."""
         exit_code = await process.wait()
         if process is not self._process:
             return
         self.up = False
         if not self._stopping:
             lines = self._log_file.read_text(errors="replace").strip().splitlines()
-            last_line = lines[-1] if lines else "and said nothing"
+            last_line = lines[-1] if lines else "it logged nothing"
             self.failures.append(f"proxy {self._number} ended by itself, exit code {exit_code}: {last_line}")
 
     def stop(self) -> None:
-        """Send SIGTERM."""
+        """Send SIGTERM, which asks for a graceful shutdown."""
         self._signal(signal.SIGTERM)
 
     def kill(self) -> None:
@@ -101,7 +101,7 @@
 def _free_address(number: int) -> Address:
     """Return a free port on a loopback address where no emulated server listens.
 
-    On the servers' address, a listener that is created later could be given the port that was free here.
+    On the address of the servers, a listener created later could be given the port before the proxy binds it.
     """
     process_id = os.getpid()
     host = f"127.{64 + process_id % 64}.{process_id // 64 % 256}.{1 + number % 250}"
--- a/client_proxy/emulator/proxy_settings.py
+++ b/client_proxy/emulator/proxy_settings.py
@@ -1,4 +1,4 @@
-"""The settings document that the platform gives each proxy of a scenario."""
+"""The settings document that the platform passes to each proxy of a scenario."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 from client_proxy.emulator.scenario import EFFECTS, RequestClassSpec, Scenario
 
 ANSWER_GRACE_MS = 20.0
+"""How long after a request's deadline its final answer still counts."""
 
 
 def proxy_settings(scenario: Scenario, ordinal: int, proxies: int) -> dict[str, Any]:
@@ -15,7 +16,7 @@
     Args:
         scenario: the scenario.
         ordinal: the proxy's number.
-        proxies: how many proxies there are.
+        proxies: the number of proxies.
     """
     rules = scenario.rules
     return {
--- a/client_proxy/emulator/random_streams.py
+++ b/client_proxy/emulator/random_streams.py
@@ -1,8 +1,8 @@
-"""Random draws that are seeded by names, not by the order of events.
+"""Random draws that depend on names only, not on the order of events.
 
-A draw for a request is the same whichever event comes first. With one random stream for all, a single event
-that changes places with another would change every draw after it, and two runs of one scenario on a real
-clock would never be the same again.
+The draw for a request is the same in whatever order events happen. With one random stream for all draws, two
+events in another order would change every later draw, and no two runs of a scenario on a real clock would
+agree.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 _NORMAL = NormalDist()
 _SEPARATOR = "\x1f"
 _DIGEST_BYTES = 7
-_DIGEST_RANGE = 2**56
-_SMALLEST_QUANTILE = 1e-9
+_DIGEST_RANGE = 2**56  # the number of values of a digest
+_SMALLEST_QUANTILE = 1e-9  # the smallest distance of a quantile from 0 and 1, where values are infinite
 
 
 def uniform_draw(*names: object) -> float:
@@ -27,7 +27,7 @@
 
 
 def random_stream(*names: object) -> Random:
-    """Return a random source of its own for these names."""
+    """Return a random number generator that is seeded by these names."""
     return Random(int(uniform_draw(*names) * 2**53))
 
 
@@ -35,9 +35,9 @@
     """Return a value of a lognormal distribution.
 
     Args:
-        mean: of the distribution.
-        variation: its coefficient of variation; at 0 the value is the mean.
-        quantile: the value's quantile, from 0 to 1.
+        mean: the mean of the distribution.
+        variation: its coefficient of variation; with 0 the result is the mean.
+        quantile: the quantile to return, from 0 to 1.
     """
     if variation <= 0:
         return mean
--- a/client_proxy/emulator/registry.py
+++ b/client_proxy/emulator/registry.py
@@ -1,4 +1,4 @@
-"""The emulated discovery: one endpoint list, watches that learn of changes late, and outages."""
+"""The emulated discovery: the endpoint list, the delayed notification of watches, and outages."""
 
 from __future__ import annotations
 
@@ -13,21 +13,24 @@
 from client_proxy.emulator.random_streams import uniform_draw
 
 MIN_NOTIFICATION_DELAY_S, MAX_NOTIFICATION_DELAY_S = 0.017, 0.087
-"""A change reaches each proxy after a delay of its own between these."""
+"""Seconds; a change is sent to each proxy after a delay between these, which is fixed for each proxy."""
 RESET = "reset"
-"""The outage in which discovery resets connections and refuses dials."""
+"""The outage mode in which discovery resets connections and refuses dials."""
 DISCOVERY_ITSELF = -1
-"""Stands for a proxy in the record of what discovery knew."""
+"""Stands in place of a proxy number in `Registry.changes`: a change at discovery, not at a proxy."""
 
 
 class Registry:
-    """Discovery, with an address of its own for each proxy.
+    """The emulated discovery service, with a listener for each proxy.
 
     Attributes:
+        latency_s: the time until a request is answered, in seconds.
         index: the version of the endpoint list.
-        requests: number of requests so far.
-        outage_mode: how it fails at present; empty: it works.
-        changes: by server, each change of its state and when discovery knew of it.
+        requests: the number of requests so far.
+        outage_mode: how it fails at present; empty while it works.
+        connections: all open connections; the values are unused.
+        listeners: its listeners by proxy number.
+        changes: by server name, each change of the server's entry, with its time.
     """
 
     def __init__(self, environment: DiscoveryEnvironment) -> None:
@@ -41,15 +44,16 @@
         self._environment = environment
         self._entries: dict[str, Json] = {}
         self._gone_entries: dict[str, Json] = {}
-        self._changed_at_index: dict[str, int] = {}  # by server
-        self._notified_since_ms: dict[int, dict[str, int]] = defaultdict(dict)  # by proxy and server
+        self._changed_at_index: dict[str, int] = {}  # the version of the latest change, by server name
+        # By proxy and server name: the start time of which the proxy was notified.
+        self._notified_since_ms: dict[int, dict[str, int]] = defaultdict(dict)
 
     @property
     def _loop(self) -> asyncio.AbstractEventLoop:
         return self._environment.loop
 
     def prepare(self) -> None:
-        """Create the listeners."""
+        """Create the listeners, one for each proxy."""
         for proxy in range(self._environment.scenario.clients.proxies):
             self.listeners.append(self._environment.new_listener(self._connection_factory(proxy)))
 
@@ -62,7 +66,7 @@
             listener.open()
 
     def close(self) -> None:
-        """Close all connections and give up the addresses."""
+        """Close all listeners and connections."""
         for listener in self.listeners:
             listener.close()
         for connection in list(self.connections):
@@ -71,7 +75,7 @@
     # The endpoint list
 
     def publish(self, name: str, status: str, since_ms: int) -> None:
-        """Change a server's entry and notify the proxies that watch."""
+        """Change a server's entry and notify the proxies that watch the list, each after its delay."""
         entry = self._new_entry(name, status, since_ms)
         self.index += 1
         self._changed_at_index[name] = self.index
@@ -101,7 +105,7 @@
         }
 
     def publish_later(self, name: str, status: str, since_ms: int, delay_ms: float) -> None:
-        """Publish a change after a delay."""
+        """Publish a change of a server's entry after a delay."""
         self._loop.call_later(delay_ms / 1000.0, self.publish, name, status, since_ms)
 
     def _with_address(self, entry: Json, proxy: int) -> Json:
@@ -113,8 +117,8 @@
 
         Args:
             proxy: the proxy.
-            notify: whether this notifies it: of all entries, and of the end of those that it knew and that
-                are gone.
+            notify: whether to record that the proxy is notified of all entries, and of the removal of those
+                that it knew and that are gone.
         """
         if notify:
             for name, since_ms in list(self._notified_since_ms[proxy].items()):
@@ -126,7 +130,7 @@
         return {"index": self.index, "snapshot": True, "endpoints": entries}
 
     def changes_since(self, proxy: int, index: int) -> Json | None:
-        """Return the changes after a version and record that the proxy is notified; None without changes."""
+        """Return the changes after version `index`, recording the notification; None if there are none."""
         entries = []
         for name, changed_at_index in self._changed_at_index.items():
             if changed_at_index > index:
@@ -146,7 +150,7 @@
     # Outages
 
     def begin_outage(self, mode: str) -> None:
-        """Fail from now on, as one of `scenario.DISCOVERY_MODES`."""
+        """Begin an outage of a mode in `scenario.DISCOVERY_MODES`."""
         self.outage_mode = mode
         if mode == SILENT:
             return
@@ -160,7 +164,7 @@
                 listener.close()
 
     def end_outage(self) -> None:
-        """Work again, and send the changes since to the watches that are left."""
+        """End the outage, and send the changes made during it to the watches that are still open."""
         ended_mode, self.outage_mode = self.outage_mode, ""
         if ended_mode == RESET:
             for listener in self.listeners:
--- a/client_proxy/emulator/server_connection.py
+++ b/client_proxy/emulator/server_connection.py
@@ -1,7 +1,7 @@
 """A proxy's connection to an emulated server: HTTP, the network's delay, and partitions.
 
-The delay between zones is added here, on real sockets as in memory: what a proxy sends is read one way
-later, and its answer is written one way later.
+The delay between zones is added here, for real sockets and sockets in memory alike: the server reads each
+byte one delay after it arrived on the socket, and writes each response one delay after it was made.
 """
 
 from __future__ import annotations
@@ -20,19 +20,20 @@
 
 MAX_BODY_BYTES = 64 * 1024
 TIMER_TOLERANCE_S = 1e-6
-"""A real loop's timer may fire this much early."""
+"""Seconds by which a real event loop's timer may fire early."""
 CORRUPT_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\x00\x00record of nobody\r\n\r\n"
+"""A response that no HTTP parser accepts, for faults of mode `spoilt`."""
 
 
 def encode_response(status: int, body: bytes = b"", *headers: bytes) -> bytes:
-    """Return an HTTP response with these header lines."""
+    """Return an HTTP response; `headers` are whole header lines without their line ends."""
     lines = b"".join(header + b"\r\n" for header in headers)
     return b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n%b" % (status, lines, len(body), body)
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """A complete request; `first_byte_s` is when its first byte was read."""
+    """A complete request; `first_byte_s` is the time on the loop's clock when its first byte was read."""
 
     url: bytes
     headers: dict[bytes, bytes]
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRequest:
-    """The owner of a job: its connection and its record."""
+    """The caller data of a `ServerRequest`: its connection and its record in the event log."""
 
     connection: ServerConnection
     arrival: Arrival
@@ -49,32 +50,32 @@
 
 @dataclass(frozen=True, slots=True)
 class DelayedBytes:
-    """Bytes that are on their way to the server until `due_s`."""
+    """Bytes that the server may read from `due_s` on, a time on the loop's clock."""
 
     due_s: float
     data: bytes
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its server."""
+    """What a connection needs from its server."""
 
     loop: asyncio.AbstractEventLoop
     network_settings: NetworkSettings
 
     @property
     def now_s(self) -> float:
-        """The time."""
+        """The time on the loop's clock, in seconds."""
 
     @property
     def frozen(self) -> bool:
-        """Whether the server stands still."""
+        """Whether the server's process is frozen."""
 
     @property
     def partitioned_from(self) -> set[int]:
-        """The proxies that it is separated from."""
+        """The numbers of the proxies that a partition separates from the server."""
 
     def one_way_delay_s(self, proxy: int) -> float:
-        """Return the network's delay from or to a proxy."""
+        """Return the network's delay in one direction between the server and a proxy, in seconds."""
 
     def connection_opened(self, connection: ServerConnection) -> None:
         """Handle a new connection."""
@@ -90,29 +91,30 @@
     """One connection, with one request at a time.
 
     Attributes:
-        handshake_work_ms: work that opening it costs, done with its first request.
-        over_limit: the server has more connections than it takes.
-        job: its request that runs or waits.
-        lost: it has ended.
+        proxy: the number of the proxy at its other end.
+        handshake_work_ms: the work of the handshake, in milliseconds; added to the first request's work.
+        over_limit: whether the server already had as many connections as it accepts.
+        server_request: its request that runs or is queued in the process model; None without one.
+        lost: whether the connection has ended.
     """
 
     def __init__(self, server: ConnectionOwner, proxy: int) -> None:
         self.proxy = proxy
         self.handshake_work_ms = 0.0
         self.over_limit = False
-        self.job: ServerRequest | None = None
+        self.server_request: ServerRequest | None = None
         self.lost = False
         self._server = server
         self._parser = httptools.HttpRequestParser(self)
         self._transport: Any = None
         self._delay_s = server.one_way_delay_s(proxy)
         self._received: deque[DelayedBytes] = deque()
-        self._unsent: deque[bytes | None] = deque()  # None: the end
+        self._unsent: deque[bytes | None] = deque()  # None: close the connection
         self._first_byte_s: float | None = None
         self._headers: list[tuple[bytes, bytes]] = []
         self._body_bytes = 0
         self._url = b""
-        self._ready_s = 0.0  # when the handshake is over
+        self._ready_s = 0.0  # when the handshake ends, on the loop's clock
 
     # asyncio's callbacks
 
@@ -124,7 +126,7 @@
         self._server.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget what has not been read or sent."""
+        """Discard data that has not been read or sent, and notify the server."""
         self.lost = True
         self._received.clear()
         self._unsent.clear()
@@ -143,15 +145,18 @@
 
     @property
     def partitioned(self) -> bool:
-        """Whether its proxy can't be reached: bytes either way wait, as on TCP, until it can be again."""
+        """Whether a partition separates it from its proxy.
+
+        Bytes of both directions then wait for the end of the partition, as with TCP.
+        """
         return self.proxy in self._server.partitioned_from
 
     def read_pending(self) -> None:
-        """Read what has arrived and is due; a frozen server reads nothing."""
+        """Parse received bytes that are due; nothing is parsed during a freeze or a partition."""
         while self._received and not self._server.frozen and not self.lost and not self.partitioned:
-            left_s = self._received[0].due_s - self._server.now_s
-            if left_s > TIMER_TOLERANCE_S:
-                self._server.loop.call_later(left_s, self.read_pending)
+            wait_s = self._received[0].due_s - self._server.now_s
+            if wait_s > TIMER_TOLERANCE_S:
+                self._server.loop.call_later(wait_s, self.read_pending)
                 return
             data = self._received.popleft().data
             if self._first_byte_s is None:
@@ -163,7 +168,7 @@
                 return
 
     def heal_partition(self) -> None:
-        """Send and read what waited for the end of a partition."""
+        """Send and read the data that waited for the end of a partition."""
         while self._unsent and not self.lost:
             self._write_next()
         self.read_pending()
@@ -186,11 +191,11 @@
         self._headers, self._body_bytes, self._url = [], 0, b""
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the URL."""
+        """Append a part of the URL."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Store a header."""
         self._headers.append((name.lower(), value))
 
     def on_body(self, body: bytes) -> None:
@@ -201,10 +206,10 @@
         """
         self._body_bytes += len(body)
         if self._body_bytes > MAX_BODY_BYTES:
-            raise ValueError("body too large")
+            raise ValueError("request body too large")
 
     def on_message_complete(self) -> None:
-        """Hand over the request."""
+        """Pass the complete request to the server."""
         first_byte_s = self._first_byte_s if self._first_byte_s is not None else self._server.now_s
         self._first_byte_s = None
         request = ReceivedRequest(self._url, dict(self._headers), first_byte_s)
@@ -213,7 +218,7 @@
     # Answers
 
     def answer(self, response: bytes, last: bool = False) -> None:
-        """Send a response after the network's delay; if it is the last one, close the connection then."""
+        """Send a response after the network's delay; if it is the last one, close the connection after it."""
         if self.lost:
             return
         self._unsent.append(response)
--- a/client_proxy/emulator/server_faults.py
+++ b/client_proxy/emulator/server_faults.py
@@ -1,4 +1,4 @@
-"""The state of a server's faults: those that are active, and the network partitions round it."""
+"""The active faults of servers, and the network partitions between a server and proxies."""
 
 from __future__ import annotations
 
@@ -11,26 +11,30 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class ActiveFault:
-    """A fault that is active at present; `index` is its place in the scenario, which seeds its draws."""
+    """A fault that is active at present; `index`, its position in the scenario, seeds its random draws."""
 
     index: int
     fault: Fault
 
     def fails(self, seed: int, server: str, arrival: Arrival) -> bool:
-        """Return whether this request fails by it."""
+        """Return whether the fault makes this request fail at this server."""
         if self.fault.classes and arrival.class_name not in self.fault.classes:
             return False
         return uniform_draw(seed, "fail", self.index, server, arrival.attempt_id) < self.fault.share
 
     def makes_costly(self, seed: int, arrival: Arrival) -> bool:
-        """Return whether this request costs more by it."""
+        """Return whether the fault makes this request cost more work."""
         if self.fault.classes and arrival.class_name not in self.fault.classes:
             return False
         return uniform_draw(seed, "costly", self.index, arrival.attempt_id) < self.fault.share
 
 
 class Partitions:
-    """The proxies that a server is separated from, by one partition or by several at once."""
+    """The proxies that a server is separated from; several partitions from one proxy may overlap.
+
+    Attributes:
+        proxies: the numbers of the proxies with at least one partition.
+    """
 
     def __init__(self) -> None:
         self.proxies: set[int] = set()
@@ -42,7 +46,7 @@
         self.proxies.add(proxy)
 
     def end(self, proxy: int) -> bool:
-        """End one partition from a proxy; return whether it was the last one."""
+        """End one partition from a proxy; return whether it was the last one that separated the two."""
         self._partitions_by_proxy[proxy] -= 1
         if self._partitions_by_proxy[proxy]:
             return False
--- a/client_proxy/emulator/simulated_keys.py
+++ b/client_proxy/emulator/simulated_keys.py
@@ -1,4 +1,4 @@
-"""Keys of simulated instances, derived from a seed: the same seed gives the same fleet."""
+"""Keys of simulated instances, derived from a seed: the same seed gives the same keys."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FastSigner:
-    """Stands in for Ed25519 in large simulations: as long, fast, and without security."""
+    """Replaces Ed25519 in large simulations: signatures of the same length, fast and without security."""
 
     def __init__(self, secret: bytes) -> None:
         self.public_key = blake2b(secret, digest_size=PUBLIC_KEY_BYTES).digest()
@@ -24,12 +24,12 @@
 
 
 def fast_verify(public_key: bytes, data: bytes, signature: bytes) -> bool:
-    """Whether a `FastSigner` with this public key signed the data."""
+    """Return whether a `FastSigner` with this public key signed the data."""
     return blake2b(data, key=public_key, digest_size=SIGNATURE_BYTES).digest() == signature
 
 
 def derive_secret(seed: int, name: str) -> bytes:
-    """Return the secret of a name in the fleet of a seed."""
+    """Return the secret that belongs to a name in the fleet that is derived from a seed."""
     return blake2b(f"{seed}/{name}".encode(), digest_size=_SECRET_BYTES).digest()
 
 
@@ -39,10 +39,10 @@
     """Return the keys of one instance of a fleet.
 
     Args:
-        seed: the fleet's.
+        seed: the seed of the fleet.
         member: the instance's member number.
-        zone: the name of its zone.
-        fast: whether signatures are a `FastSigner`'s.
+        zone: the name of the instance's zone.
+        fast: whether `FastSigner` signs, in place of Ed25519.
         group: the number of the group key.
     """
 
@@ -50,8 +50,10 @@
         secret = derive_secret(seed, name)
         return FastSigner(secret) if fast else Ed25519(secret)
 
-    authority, own = signer("authority"), signer(f"member {member}")
-    certificate = issue_certificate(authority, AUTHORITY_NUMBER, member, zone, 1, own.public_key)
+    authority, member_signer = signer("authority"), signer(f"member {member}")
+    certificate = issue_certificate(authority, AUTHORITY_NUMBER, member, zone, 1, member_signer.public_key)
     group_keys = {group: derive_secret(seed, f"group {group}")}
     authority_keys = {AUTHORITY_NUMBER: authority.public_key}
-    return Keyring(certificate, own, group_keys, authority_keys, fast_verify if fast else verify_signature)
+    return Keyring(
+        certificate, member_signer, group_keys, authority_keys, fast_verify if fast else verify_signature
+    )
--- a/client_proxy/emulator/standalone.py
+++ b/client_proxy/emulator/standalone.py
@@ -1,4 +1,4 @@
-"""Runs a scenario's servers on loopback sockets, for people who want to point something at them."""
+"""Runs a scenario's servers on loopback sockets, for manual tests with other clients and proxies."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 from client_proxy.emulator.simulation import SERVER_ADDRESS, Simulation
 
 FILE_VERSION = 1
+"""The version number that the sealed file of servers gets."""
 
 
 def endpoint_file_text(simulation: Simulation) -> str:
-    """Return the servers as a file that `client-proxy serve` watches."""
+    """Return the text of a file of servers as `client-proxy serve` watches it."""
     lines: list[str] = []
     for server in simulation.servers.values():
         host, port = server.listeners[0].address
@@ -31,18 +32,18 @@
 
 
 async def run_standalone(
-    scenario_file: Path, out: Path, duration_s: float, say: Callable[[str], object]
+    scenario_file: Path, out: Path, duration_s: float, report: Callable[[str], object]
 ) -> None:
-    """Run the servers for a while.
+    """Run the servers of a scenario for a time.
 
     Args:
-        scenario_file: the scenario.
-        out: the file of servers that is written.
-        duration_s: for how long they run.
-        say: called with a line for people when they run.
+        scenario_file: the scenario file.
+        out: where the file of servers is written.
+        duration_s: how long the servers run, in seconds.
+        report: called with a line of text once the servers run.
 
     Raises:
-        TomlError: the scenario is not usable.
+        TomlError: the scenario file is invalid.
     """
     loop = asyncio.get_running_loop()
     simulation = Simulation(load_scenario(scenario_file), loop)
@@ -52,7 +53,7 @@
     _write_endpoint_file(simulation, out)
     classes = ", ".join(f"/{name}/..." for name in simulation.classes)
     count = len(simulation.servers)
-    say(f"{count} servers are up for {duration_s:g} s and stand in {out}; they take {classes}")
+    report(f"{count} servers run for {duration_s:g} s and are listed in {out}; they accept {classes}")
     try:
         await asyncio.sleep(duration_s)
     finally:
--- a/client_proxy/emulator/timeline.py
+++ b/client_proxy/emulator/timeline.py
@@ -1,4 +1,4 @@
-"""The scenario's time line: what happens when, and what is marked on it for reports."""
+"""The scenario's time line: schedules actions by scenario time and records marks for reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
     Attributes:
         start_s: the scenario's start on the loop's clock; it has to be set before anything is scheduled.
-        marks: what happened, with its time.
+        marks: what happened, each with its time in seconds from the scenario's start.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -20,13 +20,13 @@
         self.marks: list[tuple[float, str]] = []
 
     def mark(self, text: str) -> None:
-        """Mark what happens now."""
+        """Record a mark at the present time."""
         self.marks.append((self._loop.time() - self.start_s, text))
 
     def call_at(self, at_s: float, action: Callable[[], None]) -> None:
-        """Run an action at a time."""
+        """Schedule an action for a time in seconds from the scenario's start."""
         self._loop.call_at(self.start_s + at_s, action)
 
     def mark_at(self, at_s: float, text: str) -> None:
-        """Mark something at a time."""
+        """Schedule a mark for a time in seconds from the scenario's start."""
         self.call_at(at_s, lambda: self.mark(text))
--- a/client_proxy/emulator/virtual_proxy.py
+++ b/client_proxy/emulator/virtual_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy in the simulation's own process: the daemon's code on a virtual loop, its sockets in memory."""
+"""A proxy inside the simulation's process: the daemon runs on a virtual event loop with sockets in memory."""
 
 from __future__ import annotations
 
@@ -19,15 +19,18 @@
 HOST = "127.0.0.1"
 GOSSIP_PORT = 7946
 MAX_GOSSIP_SEEDS = 3
+"""The largest number of proxies that serve as seeds of the membership; the first ones do."""
 
 
 class VirtualProxy:
-    """A proxy that runs on a virtual loop of its own, so that it can be killed outright.
+    """A proxy that runs on a virtual loop of its own, so that it can be killed alone.
 
     Attributes:
         address: where it listens.
-        up: it has not been stopped or killed.
-        incarnation: counts its starts.
+        up: whether its process runs; false once it has stopped or was killed.
+        incarnation: the number of its starts.
+        loop: the loop of its latest process; None before the first start.
+        daemon: the daemon of its latest process; None before the first one begins.
         failures: exceptions that nobody caught.
     """
 
@@ -52,9 +55,9 @@
         name = f"proxy {self._number}/{self.incarnation}"
         self.loop = self._network.join(self._scheduler.new_loop(name))
         self.loop.failures = self.failures
-        self.loop.call_soon(self._begin, self.loop, self.incarnation)
+        self.loop.call_soon(self._start_daemon, self.loop, self.incarnation)
 
-    def _begin(self, loop: VirtualLoop, incarnation: int) -> None:
+    def _start_daemon(self, loop: VirtualLoop, incarnation: int) -> None:
         document = self._environment.proxy_config(self._number, incarnation)
         config = read_config(document, {}, f"proxy {self._number}")
         gossip = self._new_gossip(config, loop)
@@ -63,9 +66,9 @@
         loop.create_task(self.daemon.start())
 
     def _new_gossip(self, config: Config, loop: VirtualLoop) -> Gossip | None:
-        """Return the proxy's gossip, if the operators want any.
+        """Return the proxy's gossip; None if the operators' settings have none.
 
-        Its keys are drawn from the scenario's seed; the first proxies are the seeds of membership.
+        Its keys are derived from the scenario's seed. The first proxies are the seeds of the membership.
         """
         environment, number = self._environment, self._number
         settings = environment.operators.gossip
@@ -89,18 +92,18 @@
     def stop(self) -> None:
         """Shut the daemon down gracefully."""
         loop, daemon = self.loop, self.daemon
-        if loop is None or daemon is None or loop.dead:
+        if loop is None or daemon is None or loop.killed:
             return
 
-        async def end() -> None:
+        async def shut_down() -> None:
             await daemon.end()
-            # Who waits for the end is on the simulation's loop.
+            # On the simulation's loop, as those that wait for the end run there.
             self._environment.loop.call_soon(self._end_process, loop)
 
-        loop.call_soon(lambda: loop.create_task(end()))
+        loop.call_soon(lambda: loop.create_task(shut_down()))
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process."""
         if self.loop is not None:
             self._end_process(self.loop)
 
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -93,7 +93,7 @@
         self._proxy = number
         self._count = 0
 
-    def _begin(self, loop: VirtualLoop, life: int) -> None:
+    def _start_daemon(self, loop: VirtualLoop, life: int) -> None:
         loop.create_task(self._serve())
 
     async def _serve(self) -> None:
