--- a/tests/emulator/test_gossip.py
+++ b/tests/emulator/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between whole daemons on the virtual clock: replayable, and no rule broken by any lie."""
+"""Gossip between whole daemons on the virtual clock: runs are reproducible, false reports break no rule."""
 
 from __future__ import annotations
 
@@ -11,10 +11,12 @@
 from client_proxy.operators import Operators
 from tests.support.days import day, incident
 
-ON = Operators(gossip=GossipSettings(swim=SwimSettings(period_ms=500.0, timeout_ms=150.0, sync_ms=2000.0)))
+GOSSIP_ON = Operators(
+    gossip=GossipSettings(swim=SwimSettings(period_ms=500.0, timeout_ms=150.0, sync_ms=2000.0))
+)
 
 
-def bad_day() -> Scenario:
+def scenario_with_faults() -> Scenario:
     return day(
         length_s=14.0,
         clients="proxies = 6\nrate_per_s = 50",
@@ -24,23 +26,30 @@
     )
 
 
-def ledger(played: SimulationResult) -> list[tuple[str, float, str]]:
-    return [(a.server, a.arrived_s, a.attempt_id) for a in played.event_log.arrivals]
+def arrivals(result: SimulationResult) -> list[tuple[str, float, str]]:
+    return [(arrival.server, arrival.arrived_s, arrival.attempt_id) for arrival in result.event_log.arrivals]
 
 
-def test_a_day_with_gossip_is_replayed_to_the_same_ledger() -> None:
-    first, second = simulate(bad_day(), operators=ON), simulate(bad_day(), operators=ON)
-    assert ledger(first) == ledger(second)
+def test_a_scenario_with_gossip_replays_to_the_same_arrivals() -> None:
+    first, second = (
+        simulate(scenario_with_faults(), operators=GOSSIP_ON),
+        simulate(scenario_with_faults(), operators=GOSSIP_ON),
+    )
+    assert arrivals(first) == arrivals(second)
     assert not first.failures
     assert not build_report(first).broken
 
 
-def test_a_lying_daemon_breaks_no_rule_and_keeps_no_server_from_work() -> None:
-    liars: dict[int, type[GossipNode]] = {4: AccusesTwo}
-    of = build_report(simulate(bad_day(), operators=ON, byzantine_reporters=liars))
-    assert not of.broken
-    honest = build_report(simulate(bad_day(), operators=ON))
-    assert of.served_share > honest.served_share - 0.02
-    played = simulate(bad_day(), operators=ON, byzantine_reporters=liars)
-    late = {a.server for a in played.event_log.arrivals if a.arrived_s - played.start_s > 12.5}
-    assert late >= set(played.specs) - {"west-1"}  # which has been well for half a second only
+def test_a_byzantine_reporter_breaks_no_rule_and_keeps_no_server_from_use() -> None:
+    reporters: dict[int, type[GossipNode]] = {4: AccusesTwo}
+    with_reporter = build_report(
+        simulate(scenario_with_faults(), operators=GOSSIP_ON, byzantine_reporters=reporters)
+    )
+    assert not with_reporter.broken
+    without_reporter = build_report(simulate(scenario_with_faults(), operators=GOSSIP_ON))
+    assert with_reporter.served_share > without_reporter.served_share - 0.02
+    result = simulate(scenario_with_faults(), operators=GOSSIP_ON, byzantine_reporters=reporters)
+    used_at_the_end = {
+        arrival.server for arrival in result.event_log.arrivals if arrival.arrived_s - result.start_s > 12.5
+    }
+    assert used_at_the_end >= set(result.specs) - {"west-1"}  # whose fault ended only half a second before
