--- a/client_proxy/scale/__init__.py
+++ b/client_proxy/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale runs: many hollow instances beside a few real ones, on real sockets of one machine."""
+"""Scale runs: many hollow instances and a few real ones, on real sockets of one machine."""
--- a/client_proxy/scale/files.py
+++ b/client_proxy/scale/files.py
@@ -1,4 +1,4 @@
-"""The files of each instance: its own, its keys, and the first policy."""
+"""Writes the configuration of a scale run: the first policy, and each instance's settings and keys."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 from client_proxy.scale.plan import ScalePlan
 from client_proxy.scale.topology import Layout, Place, Role
 
-FIRST = "policy.toml"
-CONFIG = "serve.toml"
-KEPT = "kept"
-GOSSIP_SEEDS = 3
-WEIGHTS = 997  # weights that changes go through, so that each one differs from the one before
+FIRST_POLICY_NAME = "policy.toml"
+INSTANCE_FILE_NAME = "serve.toml"
+VERSIONS_FOLDER = "kept"  # in an instance's folder; holds the policy versions that it keeps
+GOSSIP_SEEDS = 3  # gossip seeds that each instance is given
+WEIGHT_STEPS = 997  # number of distinct weights that successive changes cycle through
 
 
 def server_name(plan: ScalePlan, number: int) -> str:
+    """Names service and index; servers are dealt out to the services in turn."""
     return f"s{number % plan.policy.services}-{number // plan.policy.services}"
 
 
 def first_policy(plan: ScalePlan, addresses: list[str]) -> str:
-    """Version 1. `addresses`: of emulated servers, one for each name."""
+    """Returns the text of version 1 of the policy. `addresses` has one address per server name."""
     zones = [zone for region in plan.region for zone in region.zones]
     lines: list[str] = []
     for number in range(plan.policy.servers):
@@ -41,24 +42,32 @@
     return "\n".join(lines)
 
 
-def changed_policy(text: str, service: int, number: int) -> str:
-    """The same policy with another weight for the first server of the service. Raises ValueError if there is
-    none."""
+def change_policy(text: str, service: int, number: int) -> str:
+    """Returns the policy with another weight for the first server of the service.
+
+    Raises:
+        ValueError: the service has no server in the policy."""
     pattern = rf'(name = "s{service}-0"\n(?:.*\n)*?weight = )[\d.]+'
-    weight = 1.0 + (1 + number % WEIGHTS) / 1000.0
+    weight = 1.0 + (1 + number % WEIGHT_STEPS) / 1000.0
     changed, count = re.subn(pattern, rf"\g<1>{weight:.3f}", text, count=1)
     if not count:
         raise ValueError(f"service {service} has no server in the policy")
     return changed
 
 
-class Files:
-    """Writes them, in a folder for each instance."""
+class InstanceFiles:
+    """Writes the files of the instances, each into a folder of its own."""
 
     def __init__(self, plan: ScalePlan, layout: Layout, shared: Path, sockets: Path) -> None:
-        """`shared`: the folder of the first policy. `sockets`: that of control sockets, whose paths have a
-        bound of 108 bytes."""
-        self._plan, self._layout, self.first, self._sockets = plan, layout, shared / FIRST, sockets
+        """The first policy lies in the folder `shared`, the control sockets in the folder `sockets`.
+
+        `sockets` should be a short path: the path of a Unix socket is limited to 108 bytes."""
+        self._plan, self._layout, self.first_policy_path, self._sockets = (
+            plan,
+            layout,
+            shared / FIRST_POLICY_NAME,
+            sockets,
+        )
         self._authority = Ed25519(derive_secret(plan.seed, "authority"))
         self._seats = "\n".join(self._seat(place) for place in layout.places if place.role is Role.CONTROL)
 
@@ -73,17 +82,19 @@
         )
 
     def control_socket(self, name: str) -> Path:
-        """Of the instance of that name."""
+        """Returns the path of the control socket of the instance with that name."""
         return self._sockets / f"{name}.sock"
 
     def write(self, place: Place, home: Path, listen: str) -> Path:
-        """Returns the path of the instance's own file. `listen`: where its applications reach it."""
+        """Writes the files of one instance into `home` and returns the path of its settings file.
+
+        `listen` is the address that its applications connect to."""
         home.mkdir(parents=True, exist_ok=True)
         if place.role is not Role.PLAIN:
             self._write_keys(place, home)
         operators = self._write_operators(place, home)
-        path = home / CONFIG
-        path.write_text(self._own(place, listen, operators))
+        path = home / INSTANCE_FILE_NAME
+        path.write_text(self._instance_text(place, listen, operators))
         return path
 
     def _write_keys(self, place: Place, home: Path) -> None:
@@ -103,7 +114,7 @@
         )
         return True
 
-    def _own(self, place: Place, listen: str, operators: bool) -> str:
+    def _instance_text(self, place: Place, listen: str, operators: bool) -> str:
         plan = self._plan
         real = max(1, plan.real.instances + plan.real.plain)
         ordinal = place.member % real
@@ -116,18 +127,25 @@
         ]
         lines += [f'control = "{self.control_socket(place.name)}"'] if place.role is not Role.FOLLOWER else []
         lines += ['operators = "operators.toml"'] if operators else []
-        lines += ["[log]", 'form = "json"', "per_event_per_s = 1000", self._source(place), self._classes()]
+        lines += [
+            "[log]",
+            'form = "json"',
+            "per_event_per_s = 1000",
+            self._policy_source_text(place),
+            self._class_tables(),
+        ]
         return "\n".join(lines)
 
-    def _source(self, place: Place) -> str:
+    def _policy_source_text(self, place: Place) -> str:
         if place.role is Role.PLAIN:
-            return f'[servers]\nfile = "{self.first}"'
+            return f'[servers]\nfile = "{self.first_policy_path}"'
         return (
-            f'[agreement]\nkeys = "own.keys"\nlisten = "{place.agreement}"\nfirst = "{self.first}"\n'
-            f'keep = "{KEPT}"\nlease_ms = {self._plan.lease_ms}\n{self._seats}'
+            f'[agreement]\nkeys = "own.keys"\nlisten = "{place.agreement}"\n'
+            f'first = "{self.first_policy_path}"\nkeep = "{VERSIONS_FOLDER}"\n'
+            f"lease_ms = {self._plan.lease_ms}\n{self._seats}"
         )
 
-    def _classes(self) -> str:
+    def _class_tables(self) -> str:
         deadline = self._plan.real.deadline_ms
         times = f"aim_ms = {0.6 * deadline}\ndeadline_ms = {deadline}"
         return (
--- a/client_proxy/scale/fleet.py
+++ b/client_proxy/scale/fleet.py
@@ -1,4 +1,6 @@
-"""The processes of a scale run: hollow ones, real ones, emulated servers, clients and authors."""
+"""Starts, watches, disturbs and ends the processes of a scale run.
+
+These are hollow and real instances, emulated servers, clients, authors and discovery."""
 
 from __future__ import annotations
 
@@ -31,36 +33,36 @@
 from client_proxy.fault_injection.helper import Lateness
 from client_proxy.fault_injection.plan import MOST_INSTANCES, FleetTable, LoadTable
 from client_proxy.fault_injection.plan import Plan as RigPlan
-from client_proxy.scale.files import CONFIG, Files, first_policy
+from client_proxy.scale.files import INSTANCE_FILE_NAME, InstanceFiles, first_policy
 from client_proxy.scale.plan import ScalePlan
-from client_proxy.scale.topology import Claim, Host, Layout, Place, Role
-
-READY_S = 120.0  # within which all instances have to decide, at the start and after each day
-DEATH_S = 0.5  # for the system to tell that a process has died
-POLL_S = 1.0  # between two reports of a process of hollow instances
-READY_LOOK_S = 0.25
-BEGIN_AT_ONCE = 5  # instances that a process begins by one order, which has to end in time
-FIRST_UNUSED_PORT = 10_000  # of servers that nobody calls
-AT_ONCE = 8  # processes that are started at a time
-LATE_MEAN_S = 0.1  # of a process's own timers; past these it lags
-LATE_WORST_S = 1.0
-MEAN_TICKS = 50  # before a mean is one
-STARVED_SHARE = 0.25  # of the time without a core, in the median of the processes: a busy machine
-BLAME_SHARE = 0.5  # of the lateness: if it ran for so much of it, it has too much to do
+from client_proxy.scale.topology import AddressClaim, Host, Layout, Place, Role
+
+SETTLE_TIMEOUT_S = 120.0  # time for all instances to adopt the newest version, at the start and after a day
+EXIT_WAIT_S = 0.5  # time for the system to report a process's end after its pipes have closed
+POLL_S = 1.0  # time between two reports of a process of hollow instances
+READY_POLL_S = 0.25  # time between two checks whether instances are ready or settled
+INSTANCES_PER_ORDER = 5  # instances that a process starts per order; an order has to end before its timeout
+FIRST_UNUSED_PORT = 10_000  # first port of server addresses in runs where no client calls them
+MAX_PARALLEL_STARTS = 8  # processes of hollow instances that are started at the same time
+MAX_MEAN_LATENESS_S = 0.1  # mean lateness of a process's timers above which it is overloaded
+MAX_LATENESS_S = 1.0  # lateness of a single timer above which the process is overloaded
+MIN_TICKS_FOR_MEAN = 50  # timer ticks before the mean lateness is judged
+STARVED_SHARE = 0.25  # share of the time without a core, median of the processes; from here on too busy
+MIN_RAN_SHARE = 0.5  # a process that ran for at least this share of its lateness is overloaded itself
 TMPFS = Path("/dev/shm")
-TMPFS_PREFIX = "client-proxy-scale-"
+TMPFS_PREFIX = "client-proxy-scale-"  # followed by the process id of the run
 
 
 class HollowLost(RuntimeError):
-    """A hollow instance died, or can't begin. The text names it."""
+    """A hollow instance died or can't start. The text names it."""
 
 
-class HollowLags(RuntimeError):
-    """A hollow instance lags, does not report or does not come to decide. The text names it."""
+class HollowUnresponsive(RuntimeError):
+    """A hollow instance is overloaded, doesn't report or lacks the newest version. The text names it."""
 
 
 class HollowProcess(Helper):
-    """A process of hollow instances (`hollow.py`)."""
+    """A child process that holds hollow instances (`hollow.py`)."""
 
     def __init__(self, host: Host, folder: Path) -> None:
         super().__init__(host.name, folder)
@@ -70,16 +72,18 @@
         await self.start(module, piped=True, faulty=self.folder)
 
     async def pause(self) -> None:
-        """Stop it, with no question under way: a late answer would be taken for that to the next one."""
+        """Stops the process by SIGSTOP while no order is pending.
+
+        A late answer would be taken for the answer to the next order. Raises RigError if it doesn't stop."""
         async with self._turn:
             self.signal(signal.SIGSTOP)
             if not await self.until("T"):
-                raise RigError(f"{self.name}: does not stop")
+                raise RigError(f"{self.name}: process did not stop after SIGSTOP")
 
 
 @dataclass
 class InstanceView:
-    """What a hollow instance told last, and all of its switches."""
+    """The last report of a hollow instance, and all of its switches."""
 
     version: int = 0
     newest: int = 0
@@ -87,21 +91,25 @@
     members: int = 0
     listed: int = 0
     switches: list[tuple[float, int]] = field(default_factory=list)
-    counted_s: float = 0.0  # of `without_lease_s`, what its present life has told
+    reported_s: float = 0.0  # share of `without_lease_s` reported since its last start
+
+    def add_report(self, fields: Json) -> None:
+        """Takes in a report.
 
-    def take(self, fields: Json) -> None:
-        """A life counts from 0: what the one before had told stands."""
+        A restarted instance counts its seconds without a lease from 0 again; those before are kept."""
         self.version, self.newest = fields["version"], fields["newest"]
         self.members, self.listed = fields["members"], fields["listed"]
-        told_s = fields["without_lease_s"]
-        self.without_lease_s += told_s - self.counted_s if told_s >= self.counted_s else told_s
-        self.counted_s = told_s
+        lease_gap_s = fields["without_lease_s"]
+        self.without_lease_s += (
+            lease_gap_s - self.reported_s if lease_gap_s >= self.reported_s else lease_gap_s
+        )
+        self.reported_s = lease_gap_s
         self.switches += [(at_s, version) for at_s, version in fields["switches"]]
 
 
 @dataclass
 class Sample:
-    """Figures of one process at a moment, counted from its start."""
+    """Resource use of one process, counted from its start; `rss_kb` is its memory at that moment."""
 
     cpu_s: float
     rss_kb: int
@@ -111,33 +119,37 @@
 
 @dataclass
 class HostLateness:
-    """Of the timers of a process of hollow instances, over the run, and what processor time it had."""
+    """Lateness of the timers of a process of hollow instances over the run, and its processor time."""
 
     sum_s: float = 0.0
     ticks: int = 0
     ran_s: float = 0.0
 
-    def judge(self, host: Host, late: Json, ran_s: float) -> str:
-        """`late`: since the last report; `ran_s`: processor time since then. Returns "" if it is in time, or
-        how late it is where it stood waiting: for a core or a disk, which is the machine's doing. Raises
-        HollowLags where it ran meanwhile: then it has too much to do."""
+    def check(self, host: Host, late: Json, ran_s: float) -> str:
+        """Checks the lateness since the last report.
+
+        `ran_s` is the processor time since then. Returns "" if the timers are in time. Returns a description
+        if they were late while the process waited for a core or a disk: then the machine is too busy.
+
+        Raises:
+            HollowUnresponsive: the timers were late while the process ran, so it is overloaded itself."""
         self.sum_s += late["sum_s"]
         self.ticks += late["ticks"]
         self.ran_s += ran_s
         worst_s, mean_s = late["worst_s"], self.sum_s / max(1, self.ticks)
-        if worst_s > LATE_WORST_S:
-            told, ran, of = f"{worst_s:.2f} s", ran_s, worst_s
-        elif self.ticks >= MEAN_TICKS and mean_s > LATE_MEAN_S:
-            told, ran, of = f"{mean_s:.3f} s in the mean", self.ran_s, self.sum_s
+        if worst_s > MAX_LATENESS_S:
+            lateness, ran, total = f"{worst_s:.2f} s", ran_s, worst_s
+        elif self.ticks >= MIN_TICKS_FOR_MEAN and mean_s > MAX_MEAN_LATENESS_S:
+            lateness, ran, total = f"{mean_s:.3f} s in the mean", self.ran_s, self.sum_s
         else:
             return ""
-        if ran >= BLAME_SHARE * of:
-            raise HollowLags(f"{host.described}: timers late by {told}: it lags")
-        return f"{host.described}: timers late by {told}, of which it ran for {min(ran, of):.2f} s"
+        if ran >= MIN_RAN_SHARE * total:
+            raise HollowUnresponsive(f"{host.label}: timers late by {lateness}: it is overloaded")
+        return f"{host.label}: timers late by {lateness}, of which it ran for {min(ran, total):.2f} s"
 
 
-def clear_stale() -> None:
-    """What runs whose process is gone have left on tmpfs: who was killed cleared nothing."""
+def remove_stale_folders() -> None:
+    """Removes folders on tmpfs that were left by killed runs, whose processes no longer exist."""
     for path in TMPFS.glob(f"{TMPFS_PREFIX}*"):
         pid = path.name.removeprefix(TMPFS_PREFIX).split("-")[0]
         if pid.isdigit() and not Path(f"/proc/{pid}").exists():
@@ -145,14 +157,17 @@
 
 
 class Fleet:
-    """Made inside the event loop. What starts something raises RigError, HollowLost or OSError."""
+    """All processes of a run.
+
+    It is created inside the event loop. Methods that start processes raise RigError, HollowLost,
+    HollowUnresponsive or OSError."""
 
     def __init__(self, plan: ScalePlan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
-        self._claim = Claim()
-        self.layout = Layout(plan, self._claim.block)
+        self._address_claim = AddressClaim()
+        self.layout = Layout(plan, self._address_claim.block)
         self.tmpfs = TMPFS / f"{TMPFS_PREFIX}{os.getpid()}-{time.monotonic_ns()}"
-        self.files = Files(plan, self.layout, folder, self.tmpfs)
+        self.files = InstanceFiles(plan, self.layout, folder, self.tmpfs)
         self.hollow: dict[str, HollowProcess] = {}
         self.real: dict[str, Child] = {}
         self.servers: list[Helper] = []
@@ -160,40 +175,45 @@
         self.authors = Helper("authors", folder)
         self.discovery = Helper("discovery", folder)
         self.views: dict[str, InstanceView] = {}
-        self.away: set[str] = set()  # processes that a day has taken down
+        self.taken_down: set[str] = set()  # names of processes that a day has killed or stopped
         self.lateness = Lateness()
-        self._late: asyncio.Task[None] | None = None
+        self._lateness_task: asyncio.Task[None] | None = None
         self._watching: asyncio.Task[None] | None = None
-        self._discovery_door: list[Any] | None = None
-        self._ran_s: dict[str, float] = {}
+        self._discovery_address: list[Any] | None = None
+        self._cpu_s: dict[str, float] = {}
         self._started_s: dict[str, float] = {}
-        self._fresh: set[str] = set()  # processes whose next report tells of a start or a stop
-        self.judging = False  # lateness counts from the first day on
-        self.late: dict[str, HostLateness] = {}
-        self.busy: list[str] = []  # where the machine was too busy for the run's own timers
+        # Processes whose next report covers a start or a stop; its lateness does not count.
+        self._just_started: set[str] = set()
+        self.checks_lateness = False  # set once the fleet has started: lateness counts from the first day on
+        self.lateness_by_host: dict[str, HostLateness] = {}
+        self.busy: list[str] = []  # descriptions of timers that were late because the machine was busy
         self._ports: dict[str, int] = {}
 
     # Start
 
     async def start(self) -> None:
-        clear_stale()
-        addresses = await self._begin_servers()
-        self.files.first.write_text(first_policy(self.plan, addresses))
+        """Starts all processes and waits until they are settled."""
+        remove_stale_folders()
+        addresses = await self._start_servers()
+        self.files.first_policy_path.write_text(first_policy(self.plan, addresses))
         if self.plan.hollow.discovery:
-            await self._begin_discovery(addresses)
+            await self._start_discovery(addresses)
         self._write_files()
         await self.authors.begin("client_proxy.scale.authors")
-        await self._begin_hollow(self.layout.of(Role.CONTROL))
-        await self._begin_hollow(self.layout.of(Role.FOLLOWER))
-        await self._begin_real(self.layout.of(Role.REAL, Role.PLAIN))
-        await self.settled()
-        await self._begin_clients()
-        self._late = asyncio.create_task(self.lateness.watch())
-        self.judging = True
-        self._fresh.update(self.hollow)
+        await self._start_hollow(self.layout.hosts_of(Role.CONTROL))
+        await self._start_hollow(self.layout.hosts_of(Role.FOLLOWER))
+        await self._start_real(self.layout.hosts_of(Role.REAL, Role.PLAIN))
+        await self.wait_until_settled()
+        await self._start_clients()
+        self._lateness_task = asyncio.create_task(self.lateness.watch())
+        self.checks_lateness = True
+        self._just_started.update(self.hollow)
 
     def home(self, place: Place) -> Path:
-        """Followers' folders are on tmpfs: hundreds of them share one disk here, and have one each there."""
+        """Returns the folder of an instance.
+
+        Folders of followers are on tmpfs: hundreds of instances would share one disk here, while each has a
+        disk of its own in production."""
         parent = self.tmpfs if place.role is Role.FOLLOWER else self.folder
         return parent / place.name
 
@@ -211,42 +231,46 @@
                     assert table is not None
                     initialize_acceptor(table, self.home(place), place.member)
 
-    async def _begin_servers(self) -> list[str]:
-        """Returns an address for each name of the policy; without real instances, nobody listens there."""
+    async def _start_servers(self) -> list[str]:
+        """Starts the emulated servers and returns one address per server name of the policy.
+
+        Without real instances no server is started, and nothing listens at the addresses."""
         names = self.plan.policy.servers
         if not self.plan.real.instances + self.plan.real.plain:
             return [f"{self.layout.spare_host()}:{FIRST_UNUSED_PORT + number}" for number in range(names)]
         count = self.plan.real.servers
-        doors = [await self._begin_server(number, -(-names // count)) for number in range(count)]
-        return [doors[number % count][number // count] for number in range(names)]
-
-    def _server_day(self, racks: int, doors: int) -> RigPlan:
-        """Of the rig, for its emulated servers. Each has a door for each client proxy of the day; here each
-        door is a name of the policy."""
-        per_rack = -(-doors // MOST_INSTANCES)
-        fleet = FleetTable(instances=-(-doors // per_rack), racks=racks, per_rack=per_rack)
+        addresses = [await self._start_server(number, -(-names // count)) for number in range(count)]
+        return [addresses[number % count][number // count] for number in range(names)]
+
+    def _server_plan(self, racks: int, listeners: int) -> RigPlan:
+        """Returns a plan of the rig for its emulated servers.
+
+        An emulated server listens on one address per client proxy of its plan. Here each address stands for
+        one server name of the policy."""
+        per_rack = -(-listeners // MOST_INSTANCES)
+        fleet = FleetTable(instances=-(-listeners // per_rack), racks=racks, per_rack=per_rack)
         load = LoadTable(work_ms=self.plan.real.work_ms, deadline_ms=self.plan.real.deadline_ms)
         return RigPlan(name="scale", seed=self.plan.seed, fleet=fleet, load=load)
 
-    async def _begin_server(self, number: int, doors: int) -> list[str]:
-        """A process of emulated servers. Returns the addresses of its doors."""
+    async def _start_server(self, number: int, listeners: int) -> list[str]:
+        """Starts a process of emulated servers and returns the addresses that it listens on."""
         helper = Helper(f"server-{number}", self.folder)
         self.servers.append(helper)
         await helper.begin("client_proxy.fault_injection.servers")
         answer = await helper.ask(
             "begin",
-            day=format_scenario(rack_day(self._server_day(1, doors), ("r0",), halls=False)),
+            day=format_scenario(rack_day(self._server_plan(1, listeners), ("r0",), halls=False)),
             host=self.layout.spare_host(),
             history="/dev/null",
             cold=False,
         )
         return [f"{host}:{port}" for server in answer["doors"].values() for host, port in server]
 
-    async def _begin_discovery(self, addresses: list[str]) -> None:
+    async def _start_discovery(self, addresses: list[str]) -> None:
         await self.discovery.begin("client_proxy.fault_injection.discovery")
         count = min(self.plan.policy.servers, 20)
-        plan = self._server_day(count, 1)
-        doors = {
+        plan = self._server_plan(count, 1)
+        targets = {
             server: [list(_split(addresses[number % len(addresses)]))]
             for number, server in enumerate(plan.servers())
         }
@@ -254,23 +278,26 @@
             "begin",
             day=format_scenario(rack_day(plan, plan.racks(), halls=True)),
             host=self.layout.spare_host(),
-            doors=doors,
+            doors=targets,
             history="/dev/null",
         )
-        self._discovery_door = answer["doors"][0]
+        self._discovery_address = answer["doors"][0]
 
-    async def _begin_hollow(self, hosts: list[Host]) -> None:
-        turns = asyncio.Semaphore(AT_ONCE)
+    async def _start_hollow(self, hosts: list[Host]) -> None:
+        start_slots = asyncio.Semaphore(MAX_PARALLEL_STARTS)
 
         async def begin(host: Host) -> None:
-            async with turns:
-                await self.begin_host(host)
+            async with start_slots:
+                await self.start_host(host)
 
         await asyncio.gather(*(begin(host) for host in hosts))
 
-    async def begin_host(self, host: Host) -> None:
-        """Its process, with all of its instances. Raises HollowLost if they can't begin, HollowLags if they
-        don't in time."""
+    async def start_host(self, host: Host) -> None:
+        """Starts the host's process and all of its instances.
+
+        Raises:
+            HollowLost: an instance can't start.
+            HollowUnresponsive: the instances didn't start in time."""
         process = self.hollow.get(host.name)
         if process is None:
             process = self.hollow[host.name] = HollowProcess(host, self.folder)
@@ -279,135 +306,149 @@
         try:
             await process.begin()
             self._started_s[host.name] = time.monotonic()
-            paths = [str(self.home(place) / CONFIG) for place in host.places]
-            for first in range(0, len(paths), BEGIN_AT_ONCE):
-                some = paths[first : first + BEGIN_AT_ONCE]
-                await process.ask("begin", paths=some, discovery=self._discovery_door)
+            paths = [str(self.home(place) / INSTANCE_FILE_NAME) for place in host.places]
+            for first in range(0, len(paths), INSTANCES_PER_ORDER):
+                batch = paths[first : first + INSTANCES_PER_ORDER]
+                await process.ask("begin", paths=batch, discovery=self._discovery_address)
         except RigError as error:
-            raise await self._lost(process, error) from None
+            raise await self._classify_failure(process, error) from None
+
+    async def _classify_failure(
+        self, process: HollowProcess, error: RigError
+    ) -> HollowLost | HollowUnresponsive:
+        """Returns the exception for a process that failed to answer.
 
-    async def _lost(self, process: HollowProcess, error: RigError) -> HollowLost | HollowLags:
-        """What its failure to answer means. That a process has died is told a moment after its pipes end."""
-        told = f"{process.host.described}: {error}"
-        silent = isinstance(error.__context__, TimeoutError) and await process.ended(DEATH_S) is None
-        return HollowLags(told) if silent else HollowLost(told)
+        A process that has died is reported as ended shortly after its pipes close, so this waits for it."""
+        text = f"{process.host.label}: {error}"
+        silent = isinstance(error.__context__, TimeoutError) and await process.ended(EXIT_WAIT_S) is None
+        return HollowUnresponsive(text) if silent else HollowLost(text)
 
-    async def _begin_real(self, hosts: list[Host]) -> None:
+    async def _start_real(self, hosts: list[Host]) -> None:
         for host in hosts:
             child = self.real[host.name] = Child(host.name, self.folder)
             home = self.home(host.places[0])
-            await child.start("client_proxy.cli", "serve", "--config", str(home / CONFIG), faulty=home)
+            await child.start(
+                "client_proxy.cli", "serve", "--config", str(home / INSTANCE_FILE_NAME), faulty=home
+            )
         for host in hosts:
             await self.real[host.name].listening(self._ports[host.name])
 
-    async def _begin_clients(self) -> None:
+    async def _start_clients(self) -> None:
         names, size = list(self.real), self.plan.real.per_client
-        for nth in range(0, len(names), size):
-            helper = Helper(f"clients-{nth // size}", self.folder)
+        for first in range(0, len(names), size):
+            helper = Helper(f"clients-{first // size}", self.folder)
             self.clients.append(helper)
             await helper.begin("client_proxy.scale.load")
             await helper.ask(
                 "begin",
-                targets=[[name, [self._host(name), self._ports[name]]] for name in names[nth : nth + size]],
+                targets=[
+                    [name, [self._host(name), self._ports[name]]] for name in names[first : first + size]
+                ],
                 rate=self.plan.real.rate,
                 unsafe_share=0.4,
                 deadline_ms=self.plan.real.deadline_ms,
                 elsewhere=False,
-                seed=self.plan.seed + nth,
+                seed=self.plan.seed + first,
             )
-        await self._until_ready()
+        await self._wait_until_ready()
 
     def _host(self, name: str) -> str:
         return next(place.host for place in self.layout.places if place.name == name)
 
-    async def _until_ready(self) -> None:
-        """All real instances answer their clients' probes. Raises RigError."""
-        end_s = time.monotonic() + READY_S
+    async def _wait_until_ready(self) -> None:
+        """Waits until all real instances answer their clients' probes. Raises RigError on timeout."""
+        end_s = time.monotonic() + SETTLE_TIMEOUT_S
         while time.monotonic() < end_s:
-            looks = [await helper.ask("look") for helper in self.clients]
-            if sum(len(look["ready"]) for look in looks) == len(self.real):
+            answers = [await helper.ask("look") for helper in self.clients]
+            if sum(len(answer["ready"]) for answer in answers) == len(self.real):
                 return
             self.check_real()
-            await asyncio.sleep(READY_LOOK_S)
-        raise RigError(f"not all real instances are ready after {READY_S:g} s")
+            await asyncio.sleep(READY_POLL_S)
+        raise RigError(f"not all real instances are ready after {SETTLE_TIMEOUT_S:g} s")
 
     def check_real(self) -> None:
-        """Raises RigError for one that has ended by itself."""
+        """Raises RigError if a real instance has ended by itself."""
         for name, child in self.real.items():
             if not child.up:
-                raise RigError(f"{name}: ended: {child.last_line()}")
+                raise RigError(f"{name}: process ended: {child.last_line()}")
 
-    # What they tell
+    # Reports and samples
 
     async def poll(self) -> None:
-        """Takes the report of each process of hollow instances. Raises HollowLost or HollowLags."""
+        """Takes in a report of each process of hollow instances. Raises HollowLost or HollowUnresponsive."""
         await asyncio.gather(*(self._report(process) for process in list(self.hollow.values())))
 
     async def _report(self, process: HollowProcess) -> None:
         host = process.host
-        if host.name in self.away:
+        if host.name in self.taken_down:
             return
-        fresh = host.name in self._fresh
+        just_started = host.name in self._just_started
         try:
-            told = await process.ask("report")
+            answer = await process.ask("report")
         except RigError as error:
-            if host.name in self.away:
+            if host.name in self.taken_down:
                 return
-            raise await self._lost(process, error) from None
-        for name, fields in told["instances"].items():
-            self.views[name].take(fields)
-        ran_s = max(0.0, told["cpu_s"] - self._ran_s.get(host.name, 0.0))
-        self._ran_s[host.name] = told["cpu_s"]
-        self._fresh.discard(host.name)
-        if self.judging and not fresh:
-            late = self.late.setdefault(host.name, HostLateness())
-            busy = late.judge(host, told["late"], ran_s)
+            raise await self._classify_failure(process, error) from None
+        for name, fields in answer["instances"].items():
+            self.views[name].add_report(fields)
+        ran_s = max(0.0, answer["cpu_s"] - self._cpu_s.get(host.name, 0.0))
+        self._cpu_s[host.name] = answer["cpu_s"]
+        self._just_started.discard(host.name)
+        if self.checks_lateness and not just_started:
+            host_lateness = self.lateness_by_host.setdefault(host.name, HostLateness())
+            busy = host_lateness.check(host, answer["late"], ran_s)
             self.busy += [busy] if busy else []
 
     async def watch(self) -> None:
-        """Until it is cancelled. Raises HollowLost, HollowLags or RigError."""
+        """Polls all instances until it is cancelled. Raises HollowLost, HollowUnresponsive or RigError."""
         while True:
             await self.poll()
             self.check_real()
             await asyncio.sleep(POLL_S)
 
-    def up(self) -> list[str]:
-        """Names of hollow instances whose process no day has taken down."""
+    def running_instances(self) -> list[str]:
+        """Returns the names of hollow instances whose process isn't killed or stopped by a day."""
         return [
             place.name
             for name, process in self.hollow.items()
-            if name not in self.away
+            if name not in self.taken_down
             for place in process.host.places
         ]
 
-    def newest(self) -> int:
+    def newest_version(self) -> int:
+        """Returns the number of the newest version that any hollow instance has reported; 0: none."""
         return max((view.newest for view in self.views.values()), default=0)
 
-    async def settled(self, within_s: float = READY_S) -> None:
-        """Every hollow instance that is up has been seen to decide by the newest version. Not all of them at
-        one moment: on a busy machine leases are late now and then. Raises HollowLags by name."""
+    async def wait_until_settled(self, within_s: float = SETTLE_TIMEOUT_S) -> None:
+        """Waits until every running hollow instance has been seen to decide by the newest version.
+
+        They need not do so all at the same moment, because leases can be late on a busy machine. Raises
+        HollowUnresponsive, with the name of an instance, on timeout."""
         end_s = time.monotonic() + within_s
         seen: set[str] = set()
         newest = 0
         while True:
             await self.poll()
-            if self.newest() != newest:
-                newest = self.newest()
+            if self.newest_version() != newest:
+                newest = self.newest_version()
                 seen.clear()
-            seen |= {name for name in self.up() if newest and self.views[name].version == newest}
-            late = [name for name in self.up() if name not in seen]
-            if not late:
+            seen |= {
+                name for name in self.running_instances() if newest and self.views[name].version == newest
+            }
+            missing = [name for name in self.running_instances() if name not in seen]
+            if not missing:
                 return
             if time.monotonic() > end_s:
-                raise HollowLags(
-                    f"{late[0]}: does not decide by version {newest} after {within_s:g} s, "
-                    f"nor do {len(late) - 1} others"
+                raise HollowUnresponsive(
+                    f"{missing[0]}: does not decide by version {newest} after {within_s:g} s, "
+                    f"nor do {len(missing) - 1} others"
                 )
-            await asyncio.sleep(READY_LOOK_S)
+            await asyncio.sleep(READY_POLL_S)
 
-    def starved(self) -> float:
-        """The share of the time for which processes of hollow instances were ready to run and had no core, in
-        the median of them, since they were started."""
+    def core_wait_share(self) -> float:
+        """Returns the share of the time since its start in which a process was ready to run but had no core.
+
+        It is the median over the processes of hollow instances."""
         shares = [
             waited_s(process.pid) / max(1.0, time.monotonic() - self._started_s[name])
             for name, process in self.hollow.items()
@@ -416,93 +457,94 @@
         return median(shares) if shares else 0.0
 
     async def sample(self) -> dict[str, Sample]:
-        """Of each process of an instance that is up, by its name."""
+        """Samples the running processes of hollow and real instances, by the name of the process."""
         children: dict[str, Child] = {**self.hollow, **self.real}
-        told: dict[str, Sample] = {}
+        samples: dict[str, Sample] = {}
         for name, child in children.items():
-            if name in self.away:
+            if name in self.taken_down:
                 continue
             traffic = (await child.order(do="look"))["traffic"]
             pid = child.pid
-            told[name] = Sample(used_s(pid), resident_kb(pid), waited_s(pid), traffic)
-        return told
+            samples[name] = Sample(used_s(pid), resident_kb(pid), waited_s(pid), traffic)
+        return samples
 
     # Faults
 
     async def kill_host(self, host: Host) -> None:
-        self.away.add(host.name)
+        self.taken_down.add(host.name)
         await self.hollow[host.name].kill()
 
-    async def bring_back(self, host: Host) -> None:
-        await self.begin_host(host)
-        self._ran_s.pop(host.name, None)
-        self._fresh.add(host.name)
-        self.away.discard(host.name)
+    async def restart_host(self, host: Host) -> None:
+        await self.start_host(host)
+        self._cpu_s.pop(host.name, None)
+        self._just_started.add(host.name)
+        self.taken_down.discard(host.name)
 
-    async def stop_host(self, host: Host) -> None:
-        self.away.add(host.name)
+    async def pause_host(self, host: Host) -> None:
+        self.taken_down.add(host.name)
         await self.hollow[host.name].pause()
 
-    async def wake_host(self, host: Host) -> None:
+    async def resume_host(self, host: Host) -> None:
         process = self.hollow[host.name]
         process.signal(signal.SIGCONT)
-        self._fresh.add(host.name)  # its timers were late, as it stood still
-        self.away.discard(host.name)
+        self._just_started.add(host.name)  # its timers are late because it was stopped
+        self.taken_down.discard(host.name)
 
     async def restart_instance(self, host: Host, place: Place) -> None:
-        """In its process: closed, and begun anew from its folder."""
-        path = str(self.home(place) / CONFIG)
+        """Closes an instance and starts it again from its folder, in the same process."""
+        path = str(self.home(place) / INSTANCE_FILE_NAME)
         await self.hollow[host.name].ask("restart", name=place.name, path=path)
 
-    def _children(self, region: str | None = None) -> list[tuple[Child, Host]]:
-        """Processes that are up and take part in the agreement."""
+    def _agreement_children(self, region: str | None = None) -> list[tuple[Child, Host]]:
+        """Returns running processes that take part in the agreement, of one region or of all."""
         children: dict[str, Child] = {**self.hollow, **self.real}
         return [
             (children[host.name], host)
             for host in self.layout.hosts
             if host.role is not Role.PLAIN
-            and host.name not in self.away
+            and host.name not in self.taken_down
             and region in (None, host.places[0].region)
         ]
 
-    async def lose_datagrams(self, share: float) -> None:
-        """Of all that is sent, from now on; 0: none any more."""
-        everyone = [place.host for place in self.layout.places]
+    async def drop_datagrams(self, share: float) -> None:
+        """Drops this share of all datagrams that are sent from now on; 0 ends the loss."""
+        all_hosts = [place.host for place in self.layout.places]
         kind = "loss" if share else ""
-        for child, _ in self._children():
-            await child.order(do="datagrams", to=everyone, kind=kind, share=share)
+        for child, _ in self._agreement_children():
+            await child.order(do="datagrams", to=all_hosts, kind=kind, share=share)
 
     async def cut_region(self, region: str, cut: bool) -> dict[str, int]:
-        """Datagrams and streams between the region and the rest are lost; or no more. Returns what the layers
-        have held back so far."""
+        """Cuts datagrams and streams between a region and the others, or restores them.
+
+        Returns how many datagrams and dials the fault layers have held back so far, by kind."""
         inside = [place.host for place in self.layout.places if place.region == region]
         outside = [place.host for place in self.layout.places if place.region != region]
         kind = "loss" if cut else ""
-        held: dict[str, int] = {}
-        for child, host in self._children():
+        held_back: dict[str, int] = {}
+        for child, host in self._agreement_children():
             others = outside if host.places[0].region == region else inside
             await child.order(do="streams", to=others, cut=cut)
-            said = await child.order(do="datagrams", to=others, kind=kind, share=1.0)
-            for what, count in said["counts"].items():
-                held[what] = held.get(what, 0) + count
-        return held
+            answer = await child.order(do="datagrams", to=others, kind=kind, share=1.0)
+            for what, count in answer["counts"].items():
+                held_back[what] = held_back.get(what, 0) + count
+        return held_back
 
     # End
 
     async def end(self) -> None:
-        """Every process, whatever state it is in. Raises RigError for one that is left."""
-        if self._late is not None:
-            self._late.cancel()
+        """Ends every process, whatever its state. Raises RigError if one is left."""
+        if self._lateness_task is not None:
+            self._lateness_task.cancel()
         helpers = [*self.clients, *self.servers, self.authors, self.discovery]
         children = [*self.hollow.values(), *self.real.values()]
         pids = {child.name: child.pid for child in [*helpers, *children] if child.pid}
         await asyncio.gather(*(child.kill() for child in children))
         await asyncio.gather(*(helper.end() for helper in helpers))
-        self._claim.release()
+        self._address_claim.release()
         shutil.rmtree(self.tmpfs, ignore_errors=True)
         for name, pid in pids.items():
             if states(pid) not in ("", "Z"):
-                raise RigError(f"{name}: process {pid} is still there")
+                raise RigError(f"{name}: process {pid} is still running after the end of the run")
 
 
 def _free_port(host: str) -> int:
--- a/client_proxy/scale/hollow.py
+++ b/client_proxy/scale/hollow.py
@@ -1,8 +1,8 @@
-"""A process of hollow instances: the program's control part on real sockets, without clients and servers.
+"""Process of hollow instances: the program's control part on real sockets, without clients and servers.
 
-Each one reads its own file, takes part in the agreement with a folder and an address of its own and, where
-its file says so, in gossip; it follows discovery where the run has one. What it leaves out is stated in
-docs/design/scale.md."""
+Each hollow instance reads its own settings file and has its own folder and address in the agreement. It takes
+part in gossip if its file configures it, and follows discovery if the run has a discovery service.
+docs/design/scale.md lists what a hollow instance leaves out."""
 
 from __future__ import annotations
 
@@ -32,11 +32,13 @@
 from client_proxy.proxy.discovery import Discovery
 from client_proxy.settings import read_settings
 
-TICK_S = 0.05  # between two looks at each instance's lease, and at this process's own timers
+CHECK_INTERVAL_S = 0.05  # time between two checks of each instance's lease and of this process's timers
 
 
 def check_free(address: Address) -> None:
-    """Raises OSError if somebody listens there: the agreement's own dial for it fails unseen, in a task."""
+    """Raises OSError if the address is in use.
+
+    The agreement begins to listen there in a background task, whose failure would go unnoticed."""
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -47,41 +49,41 @@
 
 
 class HollowInstance:
-    """One of them, by the file that a real one would have."""
+    """A hollow instance, configured by the settings file that a real instance would have."""
 
     def __init__(self, path: Path, discovery: Address | None) -> None:
-        """Raises TomlError or OSError for files or addresses that can't be used."""
-        serving = load_instance_file(path)
-        table = serving.file.agreement
+        """Raises TomlError, ValueError or OSError if a file or an address can't be used."""
+        instance_file = load_instance_file(path)
+        table = instance_file.file.agreement
         if table is None:
             raise ValueError(f"{path}: no [agreement]")
-        self.name = serving.file.name
-        # Monotonic seconds, and the version that decides from then on: at each switch, and with each lease
-        # after a time without.
+        self.name = instance_file.file.name
+        # Monotonic time in seconds, and the version that decides from then on. An entry is added when the
+        # version changes, and when a lease is held again after a time without one.
         self.switches: list[tuple[float, int]] = []
         self.without_lease_s = 0.0
-        self._seen = 0  # the version that decided when it was last looked at, or switched
+        self._last_version = 0  # version that decided at the last check or switch; 0: no lease
         self._directory = EndpointDirectory()
         check_free(read_address(table.listen))
         try:
             self.source = ConsensusPolicySource(
-                table, path.parent, self._directory, _ignore, self._adopt, serving.file.hall
+                table, path.parent, self._directory, _ignore, self._adopt, instance_file.file.hall
             )
         except OSError as error:
             raise OSError(f"{self.name}: {table.listen}: {error.strerror or error}") from None
         self._gossip: Gossip | None = None
-        if serving.operators.gossip is not None:
-            config = _config(serving.file)
-            keyring = load_keyring(serving.operators.gossip.keys)
-            self._gossip = Gossip.from_config(config, serving.operators.gossip, keyring)
+        if instance_file.operators.gossip is not None:
+            config = _config(instance_file.file)
+            keyring = load_keyring(instance_file.operators.gossip.keys)
+            self._gossip = Gossip.from_config(config, instance_file.operators.gossip, keyring)
         self._discovery: Discovery | None = None
         if discovery is not None:
-            self._listed = EndpointDirectory()
-            self._discovery = Discovery(discovery, False, self._listed, _ignore)
+            self._discovered = EndpointDirectory()
+            self._discovery = Discovery(discovery, False, self._discovered, _ignore)
         self._control: Control | None = None
-        if serving.file.control:
-            verbs = {"status": self._status, "propose": self._propose}
-            self._control = Control(serving.beside(serving.file.control), verbs)
+        if instance_file.file.control:
+            handlers = {"status": self._status, "propose": self._propose}
+            self._control = Control(instance_file.beside(instance_file.file.control), handlers)
 
     async def start(self) -> None:
         await self.source.bind()
@@ -102,58 +104,62 @@
         if self._control is not None:
             self._control.close()
 
-    def look(self, at_s: float, since_s: float) -> None:
-        """Has it a lease? That it has one again counts as a switch, and so does a version that says the same
-        as the one before, which is not adopted anew."""
-        version = self.decides_by
+    def check_lease(self, at_s: float, since_s: float) -> None:
+        """Records a switch, or the time without a lease, since the last check.
+
+        A lease that is held again counts as a switch. So does a new version with the same content as the one
+        before, which the policy source doesn't adopt again.
+
+        `at_s` is monotonic time, `since_s` the time since the last check, both in seconds."""
+        version = self.deciding_version
         if not version:
             self.without_lease_s += since_s
-        elif version != self._seen:
+        elif version != self._last_version:
             self.switches.append((at_s, version))
-        self._seen = version
+        self._last_version = version
 
     @property
-    def decides_by(self) -> int:
-        """The number of the version that it holds a lease on; 0: none."""
+    def deciding_version(self) -> int:
+        """Number of the version that the instance holds a lease on; 0: none."""
         version = self.source.node.lease_holder.leased_version(now_ms())
         return version.number if version is not None else 0
 
     @property
-    def members_known(self) -> int:
-        """Of gossip's table."""
+    def member_count(self) -> int:
+        """Number of members in the gossip table; 0 without gossip."""
         return len(list(self._gossip.node.swim.members)) if self._gossip is not None else 0
 
     @property
-    def servers_listed(self) -> int:
-        """By discovery."""
-        return len(self._listed.entries) if self._discovery is not None else 0
+    def listed_count(self) -> int:
+        """Number of servers that discovery has listed; 0 without discovery."""
+        return len(self._discovered.entries) if self._discovery is not None else 0
 
     def _adopt(self, policy: Policy, message: Json) -> None:
-        """As the daemon does, but for the balancer: the list is taken in."""
+        """Adopts a version as the daemon does, but without a balancer: only the endpoint list is applied."""
         self._directory.apply(message)
         version = self.source.node.lease_holder.active_version
         if version is not None:
             self.switches.append((time.monotonic(), version.number))
-            self._seen = version.number
+            self._last_version = version.number
 
     def _status(self, _: Json) -> Json:
         return {"agreement": self.source.status()}
 
-    def _propose(self, question: Json) -> Json:
-        """As the verb of `client-proxy serve`."""
+    def _propose(self, request: Json) -> Json:
+        """Handles `propose` on the control socket as `client-proxy serve` does."""
         try:
-            content = Path(str(question["file"])).read_bytes()
-            change = str(question["change"])
-            named = self.source.propose(
-                content, change, int(question["after"]), requester="author", reason=change
+            content = Path(str(request["file"])).read_bytes()
+            change = str(request["change"])
+            change_id = self.source.propose(
+                content, change, int(request["after"]), requester="author", reason=change
             )
         except (OSError, ValueError, KeyError) as error:
             raise CommandError(str(error)) from None
-        return {"change": named}
+        return {"change": change_id}
 
 
 def _ignore(_: EndpointsListed) -> None:
-    """There is no balancer to tell."""
+    """Receives endpoint events; a hollow instance has no balancer to pass them to."""
 
 
 def _config(file: ServeFile) -> Config:
@@ -170,7 +176,7 @@
 
 @dataclass
 class Timers:
-    """By how much this process's timers were late since the last report, in seconds."""
+    """Lateness of this process's timers since the last report, in seconds."""
 
     worst_s: float = 0.0
     sum_s: float = 0.0
@@ -181,27 +187,27 @@
         self.sum_s += max(0.0, late_s)
         self.ticks += 1
 
-    def told(self) -> Json:
+    def to_json(self) -> Json:
         return {"worst_s": round(self.worst_s, 4), "sum_s": round(self.sum_s, 4), "ticks": self.ticks}
 
 
 @dataclass
-class Process:
-    """All hollow instances of this process, by name."""
+class HollowInstances:
+    """The hollow instances of this process, by name."""
 
     discovery: Address | None = None
     instances: dict[str, HollowInstance] = field(default_factory=dict)
     timers: Timers = field(default_factory=Timers)
 
     async def watch(self) -> None:
-        """Looks at the leases, and at its own lateness."""
+        """Checks the leases and the lateness of this process's timers until it is cancelled."""
         last_s = time.monotonic()
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             at_s = time.monotonic()
-            self.timers.tick(at_s - last_s - TICK_S)
+            self.timers.tick(at_s - last_s - CHECK_INTERVAL_S)
             for instance in self.instances.values():
-                instance.look(at_s, at_s - last_s)
+                instance.check_lease(at_s, at_s - last_s)
             last_s = at_s
 
     async def begin(self, paths: list[str]) -> None:
@@ -211,39 +217,42 @@
             await instance.start()
 
     def report(self) -> Json:
-        """Since the last one: switches and lateness. As of now: versions. Since the start: all else."""
+        """Returns the state of all instances.
+
+        Switches and lateness cover the time since the last report. Seconds without a lease and processor time
+        are counted from the start; versions and sizes are current."""
         timers, self.timers = self.timers, Timers()
-        told: dict[str, Json] = {}
+        instances: dict[str, Json] = {}
         for name, instance in self.instances.items():
             switches, instance.switches = instance.switches, []
-            told[name] = {
-                "version": instance.decides_by,
+            instances[name] = {
+                "version": instance.deciding_version,
                 "newest": instance.source.node.lease_holder.latest.version.number,
                 "switches": switches,
                 "without_lease_s": instance.without_lease_s,
-                "members": instance.members_known,
-                "listed": instance.servers_listed,
+                "members": instance.member_count,
+                "listed": instance.listed_count,
             }
-        return {"instances": told, "late": timers.told(), "cpu_s": time.process_time()}
+        return {"instances": instances, "late": timers.to_json(), "cpu_s": time.process_time()}
 
 
 def orders() -> dict[str, Order]:
-    process = Process()
-    watching: list[asyncio.Task[None]] = []
+    process = HollowInstances()
+    watch_tasks: list[asyncio.Task[None]] = []
 
     async def begin(order: Json) -> None:
-        """`paths`: of the instances' files. `discovery`: its address, or none."""
+        """Starts the instances with the settings files `paths`. `discovery` is its address, or none."""
         address: Any = order.get("discovery")
         process.discovery = (str(address[0]), int(address[1])) if address else None
         await process.begin(order["paths"])
-        if not watching:
-            watching.append(asyncio.get_running_loop().create_task(process.watch()))
+        if not watch_tasks:
+            watch_tasks.append(asyncio.get_running_loop().create_task(process.watch()))
 
     async def report(order: Json) -> Json:
         return process.report()
 
     async def restart(order: Json) -> None:
-        """`name`: of an instance. It is closed and begun anew from its folder."""
+        """Closes the instance `name` and starts it again from its folder; `path` is its settings file."""
         process.instances.pop(order["name"]).close()
         await process.begin([order["path"]])
 
@@ -257,7 +266,7 @@
 
     set_up(LogTable(form="json", per_event_per_s=20.0))
     logging.getLogger("client_proxy").setLevel(logging.INFO)
-    asyncio.set_event_loop_policy(uvloop.EventLoopPolicy())  # as the real one's loop
+    asyncio.set_event_loop_policy(uvloop.EventLoopPolicy())  # the loop that a real instance uses
     serve(orders)
 
 
--- a/client_proxy/scale/measure.py
+++ b/client_proxy/scale/measure.py
@@ -1,4 +1,4 @@
-"""Figures out of what a scale run saw. No I/O but for the logs of real instances."""
+"""Computes the measurements of a scale run. Its only I/O is to read the logs of real instances."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     CONTROL_KB_PER_S,
     CONTROL_MB,
     ChangeRow,
-    Figure,
-    figure,
+    Measurement,
+    summarize,
 )
 from client_proxy.scale.topology import Host, Layout, Role
 
@@ -31,14 +31,14 @@
 MEMORY = "memory"
 SENT, RECEIVED = "bytes sent", "bytes received"
 MESSAGES_SENT, MESSAGES_RECEIVED = "messages sent", "messages received"
-BOTH = "bytes sent and received"
+SENT_AND_RECEIVED = "bytes sent and received"
 WAITED = "waited for a core"
 IN_FORCE = "change in force everywhere"
 IN_FORCE_TRY = "the same, from the try that was decided"
 DECIDED = "change decided"
 IN_FORCE_AWAY = "change by way of a control machine that was away"
 MEMBERS, LISTED = "members in gossip's table", "servers that discovery told"
-RETURN = "back and deciding"
+RETURNED = "back and deciding"
 HEALED = "after the healing"
 CPU_UNIT = "% of a core"
 KB_S, PER_S = "KB/s", "1/s"
@@ -49,7 +49,7 @@
 
 @dataclass
 class Absence:
-    """An instance that is down, stopped or cut off, in monotonic seconds."""
+    """A time in which an instance is down, stopped or cut off, in monotonic seconds."""
 
     name: str
     from_s: float
@@ -57,52 +57,60 @@
 
 
 @dataclass
-class Happened:
-    """What a day's course did, beside its changes."""
+class DayEvents:
+    """Faults and restarts of a day, apart from its policy changes. Times are monotonic seconds."""
 
     absences: list[Absence] = field(default_factory=list)
-    returns: list[tuple[str, float]] = field(default_factory=list)  # who was begun anew, and when
-    healed: list[tuple[str, float]] = field(default_factory=list)  # who was cut off, and till when
-    notes: list[str] = field(default_factory=list)
+    returns: list[tuple[str, float]] = field(default_factory=list)  # instance that was restarted, and when
+    healed: list[tuple[str, float]] = field(
+        default_factory=list
+    )  # instance that was cut off, and when the cut ended
+    notes: list[str] = field(default_factory=list)  # lines for the report
 
-    def away(self, names: Iterable[str], from_s: float) -> list[Absence]:
-        made = [Absence(name, from_s) for name in names]
-        self.absences += made
-        return made
+    def add_absences(self, names: Iterable[str], from_s: float) -> list[Absence]:
+        """Adds an absence that begins at `from_s` for each name, and returns them to set their ends."""
+        added = [Absence(name, from_s) for name in names]
+        self.absences += added
+        return added
 
 
-def log_switches(log: Path, offset_s: float) -> list[tuple[float, int]]:
-    """From a real instance's log. `offset_s`: time of day less monotonic time."""
-    found: list[tuple[float, int]] = []
+def read_log_switches(log: Path, offset_s: float) -> list[tuple[float, int]]:
+    """Reads the switches of a real instance from its log.
+
+    `offset_s` is the time of day minus the monotonic time, in seconds."""
+    switches: list[tuple[float, int]] = []
     if not log.exists():
-        return found
+        return switches
     for line in log.read_text(errors="replace").splitlines():
-        told = _DECIDING.search(line)
-        if told is None:
+        match = _DECIDING.search(line)
+        if match is None:
             continue
         with suppress(ValueError, KeyError, TypeError):
             at_s = datetime.fromisoformat(json.loads(line)["timestamp"]).timestamp() - offset_s
-            found.append((at_s, int(told.group(1))))
-    return found
+            switches.append((at_s, int(match.group(1))))
+    return switches
 
 
-def first_at(switches: list[tuple[float, int]], version: int) -> float | None:
-    """When it decided by that version, or a later one, for the first time."""
+def first_switch_s(switches: list[tuple[float, int]], version: int) -> float | None:
+    """Returns when an instance first decided by that version or a later one; None: never."""
     return min((at_s for at_s, number in switches if number >= version), default=None)
 
 
 def in_force(
     switches: Switches, version: int, asked_s: float, absences: Iterable[Absence]
 ) -> tuple[float | None, str, int]:
-    """When the last instance that was up all the time decided by it, who that was, and how many never did."""
-    gone: dict[str, list[Absence]] = defaultdict(list)
+    """Returns when a version was in force everywhere, the last instance's name, and how many are missing.
+
+    Instances that were away at any time between the proposal at `asked_s` and their switch don't count.
+    Times are monotonic seconds; the first value is None if no instance adopted the version."""
+    absences_by_name: dict[str, list[Absence]] = defaultdict(list)
     for absence in absences:
-        gone[absence.name].append(absence)
+        absences_by_name[absence.name].append(absence)
     last_s, last, missing = None, "", 0
     for name, switched in switches.items():
-        at_s = first_at(switched, version)
+        at_s = first_switch_s(switched, version)
         until_s = at_s if at_s is not None else float("inf")
-        if any(a.from_s < until_s and a.to_s > asked_s for a in gone[name]):
+        if any(a.from_s < until_s and a.to_s > asked_s for a in absences_by_name[name]):
             continue
         if at_s is None:
             missing += 1
@@ -114,6 +122,7 @@
 def change_rows(
     changes: list[Json], switches: Switches, absences: list[Absence], begin_s: float
 ) -> list[ChangeRow]:
+    """Returns a row of the report for each change. `begin_s` is the beginning of the day."""
     rows: list[ChangeRow] = []
     for change in changes:
         tries = change["tries"]
@@ -134,47 +143,49 @@
     return rows
 
 
-def change_figures(rows: list[ChangeRow], changes: list[Json]) -> list[Figure]:
-    """`changes`: as their authors tell, in the rows' order."""
+def change_measurements(rows: list[ChangeRow], changes: list[Json]) -> list[Measurement]:
+    """Summarizes the changes of a day. `changes` are the authors' reports, in the order of `rows`."""
     if not rows:
         return []
-    near = [(row, change) for row, change in zip(rows, changes, strict=True) if not row.by_away]
+    reachable = [(row, change) for row, change in zip(rows, changes, strict=True) if not row.by_away]
     away = [row for row in rows if row.by_away]
-    tried = [
+    from_last_try_s = [
         row.in_force_s - (change["tries"][-1]["asked_s"] - change["tries"][0]["asked_s"])
-        for row, change in near
+        for row, change in reachable
         if row.in_force_s is not None
     ]
-    found = [
-        figure(IN_FORCE, "s", (r.in_force_s for r, _ in near if r.in_force_s is not None), budget=CHANGE_S),
-        figure(IN_FORCE_TRY, "s", tried, budget=CHANGE_S),
-        figure(DECIDED, "s", (r.decided_s for r, _ in near if r.decided_s is not None)),
-        figure("tries for a change", "", (float(r.tries) for r in rows)),
+    result = [
+        summarize(
+            IN_FORCE, "s", (r.in_force_s for r, _ in reachable if r.in_force_s is not None), budget=CHANGE_S
+        ),
+        summarize(IN_FORCE_TRY, "s", from_last_try_s, budget=CHANGE_S),
+        summarize(DECIDED, "s", (r.decided_s for r, _ in reachable if r.decided_s is not None)),
+        summarize("tries for a change", "", (float(r.tries) for r in rows)),
     ]
     if away:
-        found.append(figure(IN_FORCE_AWAY, "s", (r.in_force_s for r in away if r.in_force_s is not None)))
-    return found
+        result.append(summarize(IN_FORCE_AWAY, "s", (r.in_force_s for r in away if r.in_force_s is not None)))
+    return result
 
 
 def proposals(changes: list[Json]) -> dict[str, int]:
-    """Tries by what became of them; refusals with the reason of the first who refused."""
+    """Counts tries by outcome; a refusal includes the reason of the first instance that refused."""
     return dict(Counter(_outcome(each) for change in changes for each in change["tries"]))
 
 
-def _outcome(tried: Json) -> str:
-    if tried["what"] != "refused":
-        return str(tried["what"])
-    return f"refused ({_reason(tried)})"
+def _outcome(attempt: Json) -> str:
+    if attempt["what"] != "refused":
+        return str(attempt["what"])
+    return f"refused ({_reason(attempt)})"
 
 
-def _reason(tried: Json) -> str:
-    """Without the numbers of members."""
-    return str(tried["why"]).split("; ")[0].partition(": ")[2]
+def _reason(attempt: Json) -> str:
+    """Returns the first reason, without the number of the member that gave it."""
+    return str(attempt["why"]).split("; ")[0].partition(": ")[2]
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Of one instance, over a day."""
+    """Use of one instance over a day. Processor and waiting time are % of a core; 1 KB is 1024 bytes."""
 
     cpu_percent: float
     mb: float
@@ -186,7 +197,7 @@
 
 
 def cost(host: Host, before: Sample, after: Sample, length_s: float) -> Cost | None:
-    """None: it was begun anew meanwhile. A process's cost is shared out to its instances."""
+    """Returns the cost of a process, divided by its instances; None if it was restarted meanwhile."""
     if after.cpu_s < before.cpu_s or any(
         after.traffic.get(key, 0) < count for key, count in before.traffic.items()
     ):
@@ -210,116 +221,123 @@
 def costs(
     layout: Layout, before: Mapping[str, Sample], after: Mapping[str, Sample], length_s: float
 ) -> dict[Role, list[Cost]]:
-    """Danger: an instance alone in its process bears all of what others share; it is left out."""
-    found: dict[Role, list[Cost]] = {role: [] for role in Role}
-    largest = max((len(host.places) for host in layout.of(Role.FOLLOWER)), default=0)
+    """Returns the cost per instance of each process, by role.
+
+    Small processes of followers are left out: an instance alone in its process bears the whole fixed cost
+    that the instances of a large process share."""
+    costs_by_role: dict[Role, list[Cost]] = {role: [] for role in Role}
+    largest = max((len(host.places) for host in layout.hosts_of(Role.FOLLOWER)), default=0)
     for host in layout.hosts:
         if host.name not in before or host.name not in after:
             continue
         if host.role is Role.FOLLOWER and len(host.places) * 2 < largest:
             continue
-        made = cost(host, before[host.name], after[host.name], length_s)
-        if made is not None:
-            found[host.role].append(made)
-    return found
+        instance_cost = cost(host, before[host.name], after[host.name], length_s)
+        if instance_cost is not None:
+            costs_by_role[host.role].append(instance_cost)
+    return costs_by_role
 
 
-def cost_figures(found: dict[Role, list[Cost]]) -> list[Figure]:
-    rows: list[Figure] = []
-    for role, all_of_it in found.items():
-        if all_of_it:
-            rows += _role_figures(role, all_of_it)
-    return rows + _control_alone(found[Role.REAL], found[Role.PLAIN])
+def cost_measurements(costs_by_role: dict[Role, list[Cost]]) -> list[Measurement]:
+    rows: list[Measurement] = []
+    for role, role_costs in costs_by_role.items():
+        if role_costs:
+            rows += _role_measurements(role, role_costs)
+    return rows + _control_alone_measurements(costs_by_role[Role.REAL], costs_by_role[Role.PLAIN])
 
 
-def _role_figures(role: Role, each: list[Cost]) -> list[Figure]:
+def _role_measurements(role: Role, role_costs: list[Cost]) -> list[Measurement]:
     hollow = role is Role.FOLLOWER
     cpu, memory, both = (CONTROL_CPU_PERCENT, CONTROL_MB, CONTROL_KB_PER_S) if hollow else (None, None, None)
     if role is Role.REAL:
         both = CONTROL_KB_PER_S  # only control's datagrams and streams are counted
     rows = [
-        figure(CPU, CPU_UNIT, (c.cpu_percent for c in each), role.value, cpu),
-        figure(MEMORY, "MB", (c.mb for c in each), role.value, memory),
+        summarize(CPU, CPU_UNIT, (c.cpu_percent for c in role_costs), role.value, cpu),
+        summarize(MEMORY, "MB", (c.mb for c in role_costs), role.value, memory),
     ]
     if role is not Role.PLAIN:
         rows += [
-            figure(BOTH, KB_S, (c.sent_kb_s + c.received_kb_s for c in each), role.value, both),
-            figure(SENT, KB_S, (c.sent_kb_s for c in each), role.value),
-            figure(RECEIVED, KB_S, (c.received_kb_s for c in each), role.value),
-            figure(MESSAGES_SENT, PER_S, (c.sent_s for c in each), role.value),
-            figure(MESSAGES_RECEIVED, PER_S, (c.received_s for c in each), role.value),
+            summarize(
+                SENT_AND_RECEIVED, KB_S, (c.sent_kb_s + c.received_kb_s for c in role_costs), role.value, both
+            ),
+            summarize(SENT, KB_S, (c.sent_kb_s for c in role_costs), role.value),
+            summarize(RECEIVED, KB_S, (c.received_kb_s for c in role_costs), role.value),
+            summarize(MESSAGES_SENT, PER_S, (c.sent_s for c in role_costs), role.value),
+            summarize(MESSAGES_RECEIVED, PER_S, (c.received_s for c in role_costs), role.value),
         ]
-    return [*rows, figure(WAITED, "% of the time", (c.waited_percent for c in each), role.value)]
+    return [*rows, summarize(WAITED, "% of the time", (c.waited_percent for c in role_costs), role.value)]
 
 
-def _control_alone(real: list[Cost], plain: list[Cost]) -> list[Figure]:
-    """Real instances less the median of those that have the same load and no control."""
+def _control_alone_measurements(real: list[Cost], plain: list[Cost]) -> list[Measurement]:
+    """Cost of control: that of real instances minus the median of those with the same load and no control."""
     cpu = [c.cpu_percent - median(p.cpu_percent for p in plain) for c in real] if plain else []
     memory = [c.mb - median(p.mb for p in plain) for c in real] if plain else []
     return [
-        figure(CPU, CPU_UNIT, cpu, CONTROL_ALONE, CONTROL_CPU_PERCENT),
-        figure(MEMORY, "MB", memory, CONTROL_ALONE, CONTROL_MB),
+        summarize(CPU, CPU_UNIT, cpu, CONTROL_ALONE, CONTROL_CPU_PERCENT),
+        summarize(MEMORY, "MB", memory, CONTROL_ALONE, CONTROL_MB),
     ]
 
 
-def author_figures(cpu_s: float, changes: list[Json]) -> list[Figure]:
+def author_measurements(cpu_s: float, changes: list[Json]) -> list[Measurement]:
     tries = sum(len(change["tries"]) for change in changes)
-    return [figure(CPU, "ms for a try", [1000.0 * cpu_s / tries], AUTHOR)] if tries else []
+    return [summarize(CPU, "ms for a try", [1000.0 * cpu_s / tries], AUTHOR)] if tries else []
+
 
+def return_measurements(events: DayEvents, switches: Switches) -> list[Measurement]:
+    """Measures how long instances took to decide again after a restart or after the end of a cut.
 
-def return_figures(happened: Happened, switches: Switches) -> list[Figure]:
-    """From its beginning anew, or from the healing, until an instance decides by what is newest then."""
-    rows: list[Figure] = []
+    After a cut an instance counts once it decides by the newest version of all; after a restart, by any."""
+    rows: list[Measurement] = []
     newest = max((number for switched in switches.values() for _, number in switched), default=0)
-    for name, since in ((RETURN, happened.returns), (HEALED, happened.healed)):
+    for name, since in ((RETURNED, events.returns), (HEALED, events.healed)):
         took: list[float] = []
-        for who, from_s in since:
-            wanted = newest if name == HEALED else 0
-            later = [at_s for at_s, number in switches[who] if at_s >= from_s and number >= wanted]
+        for instance, from_s in since:
+            needed = newest if name == HEALED else 0
+            later = [at_s for at_s, number in switches[instance] if at_s >= from_s and number >= needed]
             took += [min(later) - from_s] if later else []
         if since:
-            rows.append(figure(name, "s", took))
+            rows.append(summarize(name, "s", took))
     return rows
 
 
-def view_figures(layout: Layout, views: Mapping[str, InstanceView]) -> list[Figure]:
-    """What gossip and discovery have told followers at the day's end, where they take part."""
+def view_measurements(layout: Layout, views: Mapping[str, InstanceView]) -> list[Measurement]:
+    """Returns the sizes of followers' gossip tables and discovery lists at the end of the day, if in use."""
     seen = [views[p.name] for p in layout.places if p.role is Role.FOLLOWER and p.name in views]
-    rows: list[Figure] = []
+    rows: list[Measurement] = []
     if layout.plan.hollow.gossip:
-        rows.append(figure(MEMBERS, "", (float(v.members) for v in seen), Role.FOLLOWER.value))
+        rows.append(summarize(MEMBERS, "", (float(v.members) for v in seen), Role.FOLLOWER.value))
     if layout.plan.hollow.discovery:
-        rows.append(figure(LISTED, "", (float(v.listed) for v in seen), Role.FOLLOWER.value))
+        rows.append(summarize(LISTED, "", (float(v.listed) for v in seen), Role.FOLLOWER.value))
     return rows
 
 
-def lease_figures(layout: Layout, without_s: Mapping[str, float]) -> dict[str, Figure]:
-    """By region: seconds that its hollow followers were without a lease."""
+def lease_measurements(layout: Layout, without_s: Mapping[str, float]) -> dict[str, Measurement]:
+    """Returns the seconds without a lease of hollow followers, by region."""
     by_region: dict[str, list[float]] = defaultdict(list)
     for place in layout.places:
         if place.role is Role.FOLLOWER and place.name in without_s:
             by_region[place.region].append(without_s[place.name])
     return {
-        region: figure("without a lease", "s", values, Role.FOLLOWER.value)
+        region: summarize("without a lease", "s", values, Role.FOLLOWER.value)
         for region, values in by_region.items()
     }
 
 
-def call_endings(layout: Layout, told: Mapping[str, Json]) -> dict[str, dict[str, int]]:
-    """By region: how the calls of the clients of its real instances under the agreement ended."""
-    found: dict[str, Counter[str]] = defaultdict(Counter)
+def count_call_endings(layout: Layout, calls: Mapping[str, Json]) -> dict[str, dict[str, int]]:
+    """Counts by region how client calls to real instances under the agreement ended."""
+    endings_by_region: dict[str, Counter[str]] = defaultdict(Counter)
     for place in layout.places:
-        if place.role is Role.REAL and place.name in told:
-            found[place.region].update(told[place.name]["endings"])
-    return {region: dict(endings) for region, endings in found.items()}
+        if place.role is Role.REAL and place.name in calls:
+            endings_by_region[place.region].update(calls[place.name]["endings"])
+    return {region: dict(endings) for region, endings in endings_by_region.items()}
 
 
-def call_figures(layout: Layout, told: Mapping[str, Json]) -> list[Figure]:
-    rows: list[Figure] = []
+def call_measurements(layout: Layout, calls: Mapping[str, Json]) -> list[Measurement]:
+    rows: list[Measurement] = []
     for role in (Role.REAL, Role.PLAIN):
-        names = [place.name for place in layout.places if place.role is role and place.name in told]
+        names = [place.name for place in layout.places if place.role is role and place.name in calls]
         for key, text in (("p50_ms", "call, median"), ("p99_ms", "call, 99th percentile")):
-            values = [told[name][key] for name in names if told[name][key] is not None]
+            values = [calls[name][key] for name in names if calls[name][key] is not None]
             if values:
-                rows.append(figure(text, "ms", values, role.value))
+                rows.append(summarize(text, "ms", values, role.value))
     return rows
--- a/client_proxy/scale/page.py
+++ b/client_proxy/scale/page.py
@@ -1,4 +1,4 @@
-"""A scale report as an HTML page with plots. Needs the extra `plots`."""
+"""Draws a scale report as an HTML page with plots. Needs the extra `plots`."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from pathlib import Path
 from typing import Any
 
-from client_proxy.scale.measure import BOTH, CPU, MEMORY
-from client_proxy.scale.report import CHANGE_S, DayReport, Figure, Report
+from client_proxy.scale.measure import CPU, MEMORY, SENT_AND_RECEIVED
+from client_proxy.scale.report import CHANGE_S, DayReport, Measurement, Report
 
-PLOTTED = (CPU, MEMORY, BOTH)
+PLOTTED = (CPU, MEMORY, SENT_AND_RECEIVED)  # measurements with a plot by role
 
 
 def draw(report: Report, out: Path) -> None:
-    """Raises OSError if the page can't be written."""
-    parts = [_day(day) for day in report.days]
+    """Writes the page to `out`. Raises OSError if it can't be written."""
+    parts = [_day_section(day) for day in report.days]
     title = html.escape(f"{report.plan}: {report.outcome}")
     out.write_text(
         f'<!doctype html><meta charset="utf-8"><title>{title}</title><h1>{title}</h1>'
@@ -25,8 +25,8 @@
     )
 
 
-def _day(day: DayReport) -> str:
-    rows = "".join(_row(row) for row in [*day.figures, *day.without_lease.values()])
+def _day_section(day: DayReport) -> str:
+    rows = "".join(_table_row(row) for row in [*day.figures, *day.without_lease.values()])
     notes = "".join(f"<p>{html.escape(note)}</p>" for note in day.notes)
     return (
         f'<h2>{html.escape(day.name)}, {day.length_s:.0f} s</h2><img alt="plots" '
@@ -37,7 +37,7 @@
     )
 
 
-def _row(row: Figure) -> str:
+def _table_row(row: Measurement) -> str:
     values = ("" if value is None else f"{value:g}" for value in (row.least, row.median, row.most))
     budget = "" if row.budget is None else f"{row.budget:g}"
     cells = (row.role, row.name, row.unit, *values, str(row.count), budget, row.standing)
@@ -51,26 +51,26 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(1, 1 + len(PLOTTED), figsize=(16, 3.5))
-    _changes(axes[0], day)
-    for place, name in zip(axes[1:], PLOTTED, strict=True):
-        _by_role(place, [row for row in day.figures if row.name == name and row.most is not None], name)
+    _plot_changes(axes[0], day)
+    for plot, name in zip(axes[1:], PLOTTED, strict=True):
+        _plot_by_role(plot, [row for row in day.figures if row.name == name and row.most is not None], name)
     figure.tight_layout()
-    drawn = io.BytesIO()
-    figure.savefig(drawn, format="png", dpi=90)
+    image = io.BytesIO()
+    figure.savefig(image, format="png", dpi=90)
     pyplot.close(figure)
-    return base64.b64encode(drawn.getvalue()).decode()
+    return base64.b64encode(image.getvalue()).decode()
 
 
-def _changes(axes: Any, day: DayReport) -> None:
-    """When each change was made, and after how long it was in force everywhere."""
-    made = [(row.at_s, row.in_force_s) for row in day.changes if row.in_force_s is not None]
-    axes.scatter([at_s for at_s, _ in made], [took_s for _, took_s in made], s=14)
+def _plot_changes(axes: Any, day: DayReport) -> None:
+    """Plots the time until each change was in force everywhere over the time of its first try."""
+    points = [(row.at_s, row.in_force_s) for row in day.changes if row.in_force_s is not None]
+    axes.scatter([at_s for at_s, _ in points], [took_s for _, took_s in points], s=14)
     axes.axhline(CHANGE_S, color="#c0392b", linewidth=1)
     axes.set_title("change in force everywhere, s", fontsize=9)
     axes.set_xlabel("second of the day")
 
 
-def _by_role(axes: Any, rows: list[Figure], name: str) -> None:
+def _plot_by_role(axes: Any, rows: list[Measurement], name: str) -> None:
     for height, row in enumerate(rows):
         axes.plot([row.least, row.most], [height, height], color="#555555")
         axes.plot([row.median], [height], marker="o", color="#3a7d44")
--- a/client_proxy/scale/phases.py
+++ b/client_proxy/scale/phases.py
@@ -1,4 +1,4 @@
-"""The courses of days: what is done to the fleet, and when. Each puts right what it broke."""
+"""Runs the days of a plan: which changes and faults happen when. Each day undoes its faults at its end."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from random import Random
 
 from client_proxy.scale.fleet import Fleet
-from client_proxy.scale.measure import Happened
+from client_proxy.scale.measure import DayEvents
 from client_proxy.scale.plan import DayTable
 from client_proxy.scale.topology import Host, Place, Role
 
-FAULT_AT = 1 / 6  # of the day's length, when its fault begins
-MARGIN_S = 30.0  # past the day's end, authors try no more
+FAULT_START_SHARE = 1 / 6  # share of the day's length after which its fault begins
+AUTHOR_GRACE_S = 30.0  # time after the day's end in which authors may still begin a try
 
 
-class Course:
-    """One day on a fleet that is up and settled."""
+class DayCourse:
+    """Runs one day on a fleet that is running and settled."""
 
     def __init__(self, fleet: Fleet, day: DayTable, number: int) -> None:
         self._fleet, self._day, self._number = fleet, day, number
         self._random = Random(f"{fleet.plan.seed}/{number}")
-        self.happened = Happened()
+        self.events = DayEvents()
         self.begin_s = time.monotonic()
 
     async def play(self) -> None:
-        """Raises HollowLost or RigError."""
+        """Runs the day to its end. Raises HollowLost, HollowUnresponsive or RigError."""
         courses: dict[str, Callable[[], Awaitable[None]]] = {
-            "quiet": self._nothing,
-            "changes": self._troubles,
+            "quiet": self._stay_quiet,
+            "changes": self._outages_and_loss,
             "restarts": self._restarts,
             "zone-back": self._zone_back,
             "rack": self._rack,
@@ -49,17 +49,19 @@
     async def _until(self, at_s: float) -> None:
         await asyncio.sleep(max(0.0, self.begin_s + at_s - time.monotonic()))
 
-    async def _nothing(self) -> None:
-        """What there is to see comes by itself."""
+    async def _stay_quiet(self) -> None:
+        """Does nothing; the day only measures."""
 
     async def _changes(self) -> None:
-        """Authors take turns, each with services of its own; all authors of a turn propose at once."""
+        """Proposes the day's changes in rounds, spread evenly over the day.
+
+        In each round every author proposes one change at the same time, for a service of its own."""
         day, plan = self._day, self._fleet.plan
-        turns = -(-day.changes // day.authors)
+        rounds = -(-day.changes // day.authors)
         for number in range(day.changes):
-            turn, author = divmod(number, day.authors)
-            await self._until(day.length_s * (turn + 0.5) / turns)
-            service = (author + day.authors * turn) % min(plan.policy.services, plan.policy.servers)
+            round_number, author = divmod(number, day.authors)
+            await self._until(day.length_s * (round_number + 0.5) / rounds)
+            service = (author + day.authors * round_number) % min(plan.policy.services, plan.policy.servers)
             await self._propose(number, author, service)
 
     async def _propose(self, number: int, author: int, service: int) -> None:
@@ -73,7 +75,7 @@
             home=str(self._fleet.folder / control),
             control=str(self._fleet.files.control_socket(control)),
             folder=str(self._fleet.folder),
-            until_s=self.begin_s + self._day.length_s + MARGIN_S,
+            until_s=self.begin_s + self._day.length_s + AUTHOR_GRACE_S,
         )
 
     # Faults
@@ -81,51 +83,51 @@
     def _names(self, hosts: Iterable[Host]) -> list[str]:
         return [place.name for host in hosts for place in host.places]
 
-    async def _take_down(self, hosts: list[Host]) -> None:
+    async def _kill_hosts(self, hosts: list[Host]) -> None:
         for host in hosts:
             await self._fleet.kill_host(host)
 
-    async def _bring_back(self, hosts: list[Host]) -> None:
-        """All at once."""
+    async def _restart_hosts(self, hosts: list[Host]) -> None:
+        """Starts killed processes again, all at once."""
         at_s = time.monotonic()
-        self.happened.returns += [(name, at_s) for name in self._names(hosts)]
-        await asyncio.gather(*(self._fleet.bring_back(host) for host in hosts))
-
-    async def _down_for(self, hosts: list[Host]) -> None:
-        """Killed for as long as the day's fault lasts, and brought back."""
-        await self._until(self._day.length_s * FAULT_AT)
-        absences = self.happened.away(self._names(hosts), time.monotonic())
-        await self._take_down(hosts)
-        await asyncio.sleep(self._day.lasts_s)
-        await self._bring_back(hosts)
+        self.events.returns += [(name, at_s) for name in self._names(hosts)]
+        await asyncio.gather(*(self._fleet.restart_host(host) for host in hosts))
+
+    async def _kill_for_fault_length(self, hosts: list[Host]) -> None:
+        """Kills the processes at the beginning of the day's fault and restarts them at its end."""
+        await self._until(self._day.length_s * FAULT_START_SHARE)
+        absences = self.events.add_absences(self._names(hosts), time.monotonic())
+        await self._kill_hosts(hosts)
+        await asyncio.sleep(self._day.fault_length_s)
+        await self._restart_hosts(hosts)
         for absence in absences:
             absence.to_s = time.monotonic()
 
-    async def _troubles(self) -> None:
-        """Some down, some stopped, some datagrams lost, while changes are made."""
+    async def _outages_and_loss(self) -> None:
+        """Kills some hollow instances, stops others and drops datagrams until the end of the day."""
         day, fleet = self._day, self._fleet
-        alone = [h for h in fleet.layout.of(Role.FOLLOWER) if h.name.startswith("alone-")]
+        alone = [h for h in fleet.layout.hosts_of(Role.FOLLOWER) if h.name.startswith("alone-")]
         down, stopped = alone[: day.down], alone[day.down : day.down + day.stopped]
-        absences = self.happened.away(self._names([*down, *stopped]), time.monotonic())
+        absences = self.events.add_absences(self._names([*down, *stopped]), time.monotonic())
         if day.loss:
-            await fleet.lose_datagrams(day.loss)
-        await self._take_down(down)
+            await fleet.drop_datagrams(day.loss)
+        await self._kill_hosts(down)
         for host in stopped:
-            await fleet.stop_host(host)
+            await fleet.pause_host(host)
         await self._until(day.length_s)
         if day.loss:
-            await fleet.lose_datagrams(0.0)
+            await fleet.drop_datagrams(0.0)
         for host in stopped:
-            await fleet.wake_host(host)
+            await fleet.resume_host(host)
         if down:
-            await self._bring_back(down)
+            await self._restart_hosts(down)
         for absence in absences:
             absence.to_s = time.monotonic()
 
     async def _restarts(self) -> None:
-        """One after the other, spread over the day, of instances that are drawn."""
+        """Restarts randomly chosen followers one after the other, spread evenly over the day."""
         day, fleet = self._day, self._fleet
-        choices = [(host, place) for host in fleet.layout.of(Role.FOLLOWER) for place in host.places]
+        choices = [(host, place) for host in fleet.layout.hosts_of(Role.FOLLOWER) for place in host.places]
         chosen = self._random.sample(choices, min(day.restarts, len(choices)))
         for nth, (host, place) in enumerate(chosen):
             await self._until(day.length_s * (nth + 0.5) / len(chosen))
@@ -133,48 +135,52 @@
 
     async def _restart(self, host: Host, place: Place) -> None:
         at_s = time.monotonic()
-        absence = self.happened.away([place.name], at_s)[0]
-        self.happened.returns.append((place.name, at_s))
+        absence = self.events.add_absences([place.name], at_s)[0]
+        self.events.returns.append((place.name, at_s))
         await self._fleet.restart_instance(host, place)
         absence.to_s = time.monotonic()
 
-    def _in_zone(self, zone: str, *roles: Role) -> list[Host]:
-        return [host for host in self._fleet.layout.of(*roles) if host.places[0].zone == zone]
+    def _hosts_in_zone(self, zone: str, *roles: Role) -> list[Host]:
+        return [host for host in self._fleet.layout.hosts_of(*roles) if host.places[0].zone == zone]
 
     async def _zone_back(self) -> None:
-        await self._down_for(self._in_zone(self._day.zone, Role.FOLLOWER))
+        await self._kill_for_fault_length(self._hosts_in_zone(self._day.zone, Role.FOLLOWER))
 
     async def _rack(self) -> None:
-        """One process of the zone's followers, and control machines."""
-        control = self._fleet.layout.of(Role.CONTROL)[-self._day.control :] if self._day.control else []
-        await self._down_for([*self._in_zone(self._day.zone, Role.FOLLOWER)[-1:], *control])
+        """Kills one process of the zone's followers together with control machines."""
+        control = self._fleet.layout.hosts_of(Role.CONTROL)[-self._day.control :] if self._day.control else []
+        await self._kill_for_fault_length(
+            [*self._hosts_in_zone(self._day.zone, Role.FOLLOWER)[-1:], *control]
+        )
 
     async def _control_down(self) -> None:
         count = self._day.control
-        await self._down_for(self._fleet.layout.of(Role.CONTROL)[-count:] if count else [])
+        await self._kill_for_fault_length(self._fleet.layout.hosts_of(Role.CONTROL)[-count:] if count else [])
 
     async def _region_cut(self) -> None:
         day, fleet = self._day, self._fleet
         names = [p.name for p in fleet.layout.places if p.region == day.region and p.role is not Role.PLAIN]
-        await self._until(day.length_s * FAULT_AT)
+        await self._until(day.length_s * FAULT_START_SHARE)
         before = await fleet.cut_region(day.region, True)
-        absences = self.happened.away(names, time.monotonic())
-        await asyncio.sleep(day.lasts_s)
+        absences = self.events.add_absences(names, time.monotonic())
+        await asyncio.sleep(day.fault_length_s)
         after = await fleet.cut_region(day.region, False)
         at_s = time.monotonic()
         for absence in absences:
             absence.to_s = at_s
-        self.happened.healed += [(name, at_s) for name in names]
+        self.events.healed += [(name, at_s) for name in names]
         lost = after.get("loss", 0) - before.get("loss", 0)
         dials = after.get("stream-cut", 0) - before.get("stream-cut", 0)
-        self.happened.notes.append(f"cut for {day.lasts_s:g} s: {lost} datagrams, {dials} dials held back")
+        self.events.notes.append(
+            f"cut for {day.fault_length_s:g} s: {lost} datagrams, {dials} dials held back"
+        )
 
     async def _start_all(self) -> None:
-        """All processes with hollow instances are killed, and started at once."""
-        await self._until(self._day.length_s * FAULT_AT)
-        hosts = self._fleet.layout.of(Role.CONTROL, Role.FOLLOWER)
-        absences = self.happened.away(self._names(hosts), time.monotonic())
-        await self._take_down(hosts)
-        await self._bring_back(hosts)
+        """Kills all processes of hollow instances and starts them all at once."""
+        await self._until(self._day.length_s * FAULT_START_SHARE)
+        hosts = self._fleet.layout.hosts_of(Role.CONTROL, Role.FOLLOWER)
+        absences = self.events.add_absences(self._names(hosts), time.monotonic())
+        await self._kill_hosts(hosts)
+        await self._restart_hosts(hosts)
         for absence in absences:
             absence.to_s = time.monotonic()
--- a/client_proxy/scale/plan.py
+++ b/client_proxy/scale/plan.py
@@ -1,6 +1,7 @@
-"""What a scale run does, as models of the library pydantic: regions, control machines, real instances, days.
+"""Models of a scale plan: regions, control machines, real instances, and the days that a run plays.
 
-A plan is a TOML file. It is checked whole, with the machine's memory, before anything is started."""
+A plan is a TOML file. It is validated as a whole, together with its estimated need of processes and memory,
+before anything is started."""
 
 from __future__ import annotations
 
@@ -12,19 +13,19 @@
 from client_proxy.config.models import Model, parse
 from client_proxy.toml_table import TomlError, read_text
 
-MOST_PROCESSES = 200
-MEMORY_SHARE = 0.5  # of the machine's, at most
-MOST_INSTANCES = 10_000
-MOST_SEATS = 7
-MOST_S = 3600.0
+MAX_PROCESSES = 200  # of one run
+MEMORY_SHARE = 0.5  # largest share of the machine's memory that a run may take
+MAX_INSTANCES = 10_000  # hollow instances of one region
+MAX_SEATS = 7  # control machines of a run, each with a seat in the agreement
+MAX_RUN_S = 3600.0  # upper bound for the length of a run and of a day
 
-# Estimates for the refusal, in MB. The measurements behind them are in docs/design/scale.md.
-PROCESS_MB = 60.0  # a Python process with the program's modules, before its first instance
-HOLLOW_MB = 0.35  # a hollow instance, beside its list
-SERVER_MB = 0.002  # a server in an instance's list, parsed
-BODY_KB_PER_SERVER = 0.11  # of a policy file
-BODIES_KEPT = 24  # files of the policy that an instance keeps, on tmpfs for followers
-REAL_MB = 75.0  # a real instance under load
+# Estimates that decide whether a plan is too large for the machine. They are derived in docs/design/scale.md.
+PROCESS_MB = 60.0  # a Python process with the program's modules loaded and no instance yet
+HOLLOW_MB = 0.35  # a hollow instance without its server list
+SERVER_MB = 0.002  # one parsed server entry in an instance's list
+BODY_KB_PER_SERVER = 0.11  # size of one server entry in a policy file
+BODIES_KEPT = 24  # policy files that an instance keeps; followers keep them on tmpfs, in memory
+REAL_MB = 75.0  # a real instance under load, its process included
 
 DayKind = Literal[
     "quiet", "changes", "restarts", "zone-back", "rack", "control-down", "region-cut", "start-all"
@@ -32,16 +33,16 @@
 
 
 class RegionTable(Model):
-    """`[[region]]`: zones with hollow instances, and control machines."""
+    """`[[region]]`: a region with its zones, hollow instances and control machines."""
 
     name: str = Field(pattern=r"^[a-z0-9-]{1,20}$", description="of the region")
     zones: tuple[str, ...] = Field(min_length=1, max_length=20, description="names of its zones")
-    instances: int = Field(ge=1, le=MOST_INSTANCES, description="hollow instances, dealt out to its zones")
-    control: int = Field(0, ge=0, le=MOST_SEATS, description="control machines that stand here")
+    instances: int = Field(ge=1, le=MAX_INSTANCES, description="hollow instances, dealt out to its zones")
+    control: int = Field(0, ge=0, le=MAX_SEATS, description="control machines that stand here")
 
 
 class HollowTable(Model):
-    """`[hollow]`"""
+    """`[hollow]`: how hollow instances are grouped into processes, and what they take part in."""
 
     per_process: int = Field(60, ge=1, le=500, description="hollow instances in a process, at most")
     gossip: bool = Field(False, description="they take part in gossip")
@@ -61,7 +62,7 @@
 
 
 class PolicySizeTable(Model):
-    """`[policy]`: how large what they agree on is."""
+    """`[policy]`: the size of the policy that the instances agree on."""
 
     servers: int = Field(10, ge=1, le=10_000, description="servers in the policy")
     services: int = Field(5, ge=1, le=1000, description="the servers are dealt out to so many services")
@@ -72,7 +73,7 @@
 
     kind: DayKind = Field(description="what happens")
     name: str = Field("", pattern=r"^[a-z0-9-]{0,40}$", description="in the report; without it the kind")
-    length_s: float = Field(5.0, gt=0, le=MOST_S, description="of the day; faults last a part of it")
+    length_s: float = Field(5.0, gt=0, le=MAX_RUN_S, description="of the day; faults last a part of it")
     changes: int = Field(0, ge=0, le=1000, description="changes of the policy, spread evenly over the day")
     authors: int = Field(1, ge=1, le=20, description="who make them at once, each for services of its own")
     down: int = Field(0, ge=0, le=20, description="hollow instances that are killed for the day")
@@ -81,23 +82,24 @@
     restarts: int = Field(0, ge=0, le=1000, description="restarts: hollow instances, spread over the day")
     zone: str = Field("", description="zone-back: which; rack: the zone of the instances that go")
     region: str = Field("", description="region-cut: which")
-    control: int = Field(1, ge=0, le=MOST_SEATS, description="control-down, rack: control machines that go")
+    control: int = Field(1, ge=0, le=MAX_SEATS, description="control-down, rack: control machines that go")
     fault_s: float = Field(
-        0.0, ge=0, le=MOST_S, description="how long a fault lasts; 0: two thirds of the day"
+        0.0, ge=0, le=MAX_RUN_S, description="how long a fault lasts; 0: two thirds of the day"
     )
 
     @property
     def title(self) -> str:
+        """The name in the report; the kind if the day has no name."""
         return self.name or self.kind
 
     @property
-    def lasts_s(self) -> float:
-        """How long its fault lasts, in seconds."""
+    def fault_length_s(self) -> float:
+        """How long the day's fault lasts, in seconds."""
         return self.fault_s or self.length_s * 2 / 3
 
 
 class ScalePlan(Model):
-    """The whole file."""
+    """A whole scale plan file."""
 
     name: str = Field(pattern=r"^[a-z0-9-]{1,40}$", description="of the run")
     about: str = Field("", max_length=500, description="for people")
@@ -105,7 +107,7 @@
     lease_ms: float = Field(3000.0, ge=200, le=600_000, description="of the agreement")
     memory_mb: float = Field(0.0, ge=0, description="memory that it may take; 0: half of the machine's")
     most_s: float = Field(
-        580.0, gt=0, le=MOST_S, description="the run ends by itself after this at the latest"
+        580.0, gt=0, le=MAX_RUN_S, description="the run ends by itself after this at the latest"
     )
     region: tuple[RegionTable, ...] = Field(max_length=20)
     hollow: HollowTable = Field(default_factory=HollowTable)
@@ -114,21 +116,22 @@
     day: tuple[DayTable, ...] = Field(max_length=50)
 
     @model_validator(mode="after")
-    def _fits_together(self) -> ScalePlan:
-        # Not as a bound of the fields: with a fault in their only table they would count as empty, too.
+    def _check_consistency(self) -> ScalePlan:
+        # Checked here and not by a `min_length` of the fields: an array whose only table is invalid would be
+        # reported as empty as well.
         if not self.region or not self.day:
-            raise ValueError("region, day: one of each is needed at least")
+            raise ValueError("region, day: at least one of each is needed")
         zones = [zone for region in self.region for zone in region.zones]
         names = [region.name for region in self.region]
         if len(set(zones)) != len(zones) or len(set(names)) != len(names):
-            raise ValueError("region: two regions or zones have one name")
+            raise ValueError("region: two regions or zones have the same name")
         if sum(day.length_s for day in self.day) >= self.most_s:
-            raise ValueError("most_s: the days are longer")
+            raise ValueError("most_s: the days are longer than the run may take")
         for region in self.region:
             if region.instances < len(region.zones):
                 raise ValueError(f"region.instances: {region.name}: fewer than its zones")
-        if not 1 <= self.control <= MOST_SEATS:
-            raise ValueError(f"region.control: {self.control} control machines; 1 to {MOST_SEATS} are needed")
+        if not 1 <= self.control <= MAX_SEATS:
+            raise ValueError(f"region.control: {self.control} control machines; 1 to {MAX_SEATS} are needed")
         for number, day in enumerate(self.day):
             self._check_day(f"day.{number}", day, zones, names)
         return self
@@ -141,31 +144,38 @@
         if day.kind in ("control-down", "rack") and day.control > self.control:
             raise ValueError(f"{where}.control: there are {self.control} control machines")
         if day.down + day.stopped > self.instances - len(zones):
-            raise ValueError(f"{where}.down: there are not so many hollow instances")
-        if day.lasts_s > day.length_s:
+            raise ValueError(
+                f"{where}.down: down + stopped exceeds the number of hollow instances that can be taken away"
+            )
+        if day.fault_length_s > day.length_s:
             raise ValueError(f"{where}.fault_s: longer than the day")
 
     @property
     def instances(self) -> int:
-        """Hollow instances without a seat."""
+        """Number of hollow instances that follow, without a seat in the agreement."""
         return sum(region.instances for region in self.region)
 
     @property
     def control(self) -> int:
+        """Number of control machines in all regions."""
         return sum(region.control for region in self.region)
 
     @property
-    def apart(self) -> int:
-        """Hollow instances that have a process of their own, as days kill or stop them alone."""
+    def separate_count(self) -> int:
+        """Number of hollow instances with a process of their own, as a day kills or stops them singly."""
         return max(day.down + day.stopped for day in self.day)
 
 
 class PlanRefused(TomlError):
-    """The machine is not to be asked for so much. One line, with the key."""
+    """The plan needs more processes or memory than a run may take. The text is one line with the key."""
 
 
 def load(path: Path) -> ScalePlan:
-    """Raises TomlError with a line for each fault, PlanRefused for what is too large."""
+    """Reads a plan and checks it.
+
+    Raises:
+        TomlError: the file is invalid; the text has one line per error.
+        PlanRefused: the plan is too large for the machine."""
     plan = parse(ScalePlan, read_text(path), str(path))
     try:
         check_size(plan)
@@ -175,29 +185,30 @@
 
 
 def check_size(plan: ScalePlan) -> None:
-    """Raises PlanRefused: more processes or memory than a run may take."""
+    """Raises PlanRefused if the plan needs more processes or memory than a run may take."""
     from client_proxy.scale.topology import Layout
 
     count = Layout(plan).process_count()
-    if count > MOST_PROCESSES:
-        raise PlanRefused(f"hollow.per_process: {count} processes, and {MOST_PROCESSES} are the most")
+    if count > MAX_PROCESSES:
+        raise PlanRefused(f"hollow.per_process: {count} processes; at most {MAX_PROCESSES} are allowed")
     needed, allowed = memory_needed_mb(plan, count), memory_allowed_mb(plan)
     if needed > allowed:
-        raise PlanRefused(f"memory_mb: about {needed:.0f} MB are needed, and {allowed:.0f} MB are allowed")
+        raise PlanRefused(f"memory_mb: about {needed:.0f} MB are needed; {allowed:.0f} MB are allowed")
 
 
 def memory_needed_mb(plan: ScalePlan, processes: int) -> float:
-    """An estimate, of processes and of the files that followers keep on tmpfs."""
+    """Estimates the memory of all processes and of the files that followers keep on tmpfs, in MB."""
     hollow = plan.instances + plan.control
-    bodies = plan.policy.servers * BODY_KB_PER_SERVER * BODIES_KEPT / 1024.0
-    each = HOLLOW_MB + plan.policy.servers * SERVER_MB + bodies
+    bodies_mb = plan.policy.servers * BODY_KB_PER_SERVER * BODIES_KEPT / 1024.0
+    per_instance_mb = HOLLOW_MB + plan.policy.servers * SERVER_MB + bodies_mb
     real = plan.real.instances + plan.real.plain
-    return processes * PROCESS_MB + hollow * each + real * (REAL_MB - PROCESS_MB)
+    return processes * PROCESS_MB + hollow * per_instance_mb + real * (REAL_MB - PROCESS_MB)
 
 
 def memory_allowed_mb(plan: ScalePlan) -> float:
-    half = MEMORY_SHARE * _machine_mb()
-    return min(half, plan.memory_mb) if plan.memory_mb else half
+    """Returns the smaller of the plan's own limit and the allowed share of the machine's memory, in MB."""
+    share_mb = MEMORY_SHARE * _machine_mb()
+    return min(share_mb, plan.memory_mb) if plan.memory_mb else share_mb
 
 
 def _machine_mb() -> float:
--- a/client_proxy/scale/run.py
+++ b/client_proxy/scale/run.py
@@ -1,4 +1,4 @@
-"""Plays a scale plan: starts the fleet, plays its days one after the other on it, ends all of it, reports."""
+"""Runs a scale plan: starts the fleet, runs the plan's days on it, ends all processes and reports."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from client_proxy.fault_injection.child_process import Json, RigError
 from client_proxy.fault_injection.scenario_runner import LATE_S, MOST_LATE_S
 from client_proxy.scale import measure
-from client_proxy.scale.fleet import STARVED_SHARE, Fleet, HollowLags, HollowLost, Sample
-from client_proxy.scale.phases import Course
+from client_proxy.scale.fleet import STARVED_SHARE, Fleet, HollowLost, HollowUnresponsive, Sample
+from client_proxy.scale.phases import DayCourse
 from client_proxy.scale.plan import DayTable, ScalePlan, check_size
 from client_proxy.scale.report import DayReport, Outcome, Report
 from client_proxy.scale.topology import Role
 
-Say = Callable[[str], object]
-LOOK_S = 0.25
-AUTHORS_S = 60.0  # past a day's end, for changes under way
+ShowProgress = Callable[[str], object]
+POLL_INTERVAL_S = 0.25  # time between two queries for the state of the day's changes
+AUTHORS_TIMEOUT_S = 60.0  # time after the end of a day for its changes to be finished
 
 
 @dataclass
-class Before:
-    """What stood at a day's beginning."""
+class DayStart:
+    """Counts and samples at the beginning of a day, which its end is compared with."""
 
     at_s: float
     samples: dict[str, Sample]
@@ -35,10 +35,10 @@
 
 
 class Run:
-    """One run of a plan, in a folder that is new."""
+    """One run of a plan, in a new folder."""
 
-    def __init__(self, plan: ScalePlan, folder: Path, say: Say) -> None:
-        self._plan, self._say = plan, say
+    def __init__(self, plan: ScalePlan, folder: Path, show_progress: ShowProgress) -> None:
+        self._plan, self._show_progress = plan, show_progress
         self._end_s = time.monotonic() + plan.most_s
         self.fleet = Fleet(plan, folder)
         layout = self.fleet.layout
@@ -46,157 +46,161 @@
         self.report = Report(plan.name, plan.seed, plan.instances, plan.control, real, layout.process_count())
 
     async def play(self) -> None:
-        """Raises HollowLost, HollowLags or RigError."""
-        self._say(f"starting {self.report.processes} processes, {self._plan.instances} hollow instances")
+        """Runs the whole plan. Raises HollowLost, HollowUnresponsive or RigError."""
+        self._show_progress(
+            f"starting {self.report.processes} processes, {self._plan.instances} hollow instances"
+        )
         await self.fleet.start()
-        watching = asyncio.create_task(self.fleet.watch())
-        days = asyncio.create_task(self._days())
+        watcher = asyncio.create_task(self.fleet.watch())
+        days = asyncio.create_task(self._play_days())
         try:
             left_s = self._end_s - time.monotonic()
-            await asyncio.wait({watching, days}, timeout=left_s, return_when=asyncio.FIRST_COMPLETED)
-            for task in (watching, days):
+            await asyncio.wait({watcher, days}, timeout=left_s, return_when=asyncio.FIRST_COMPLETED)
+            for task in (watcher, days):
                 if task.done():
                     task.result()
             if not days.done():
                 done = len(self.report.days)
-                raise HollowLags(f"{done} of {len(self._plan.day)} days ended within {self._plan.most_s:g} s")
+                raise HollowUnresponsive(
+                    f"{done} of {len(self._plan.day)} days ended within {self._plan.most_s:g} s"
+                )
         finally:
-            watching.cancel()
+            watcher.cancel()
             days.cancel()
-            await asyncio.gather(watching, days, return_exceptions=True)
-        await self._judge_timers()
+            await asyncio.gather(watcher, days, return_exceptions=True)
+        await self._check_timers()
 
-    async def _days(self) -> None:
+    async def _play_days(self) -> None:
         for number, day in enumerate(self._plan.day):
-            self._say(f"{day.title}: {day.length_s:g} s")
-            self.report.days.append(await self._day(number, day))
-            await self.fleet.settled()
+            self._show_progress(f"{day.title}: {day.length_s:g} s")
+            self.report.days.append(await self._play_day(number, day))
+            await self.fleet.wait_until_settled()
 
-    async def _day(self, number: int, day: DayTable) -> DayReport:
-        before = await self._before()
-        course = Course(self.fleet, day, number)
+    async def _play_day(self, number: int, day: DayTable) -> DayReport:
+        before = await self._record_day_start()
+        course = DayCourse(self.fleet, day, number)
         await course.play()
         samples = await self.fleet.sample()
         length_s = time.monotonic() - before.at_s
-        calls = await self._calls()
-        changes = await self._changes_ended(before)
-        await self.fleet.settled()
+        calls = await self._take_calls()
+        changes = await self._await_changes(before)
+        await self.fleet.wait_until_settled()
         authors = await self.fleet.authors.ask("look")
-        return self._measured(
+        return self._measure_day(
             day, course, before, samples, length_s, calls, changes, authors["cpu_s"] - before.authors_cpu_s
         )
 
-    async def _before(self) -> Before:
+    async def _record_day_start(self) -> DayStart:
         await self.fleet.poll()
         authors = await self.fleet.authors.ask("look")
-        await self._calls()
+        await self._take_calls()
         without_s = {name: view.without_lease_s for name, view in self.fleet.views.items()}
         samples = await self.fleet.sample()
-        return Before(time.monotonic(), samples, without_s, len(authors["changes"]), authors["cpu_s"])
+        return DayStart(time.monotonic(), samples, without_s, len(authors["changes"]), authors["cpu_s"])
 
-    async def _calls(self) -> dict[str, Json]:
-        """By real instance, how the calls of its clients ended since the last time."""
-        told: dict[str, Json] = {}
+    async def _take_calls(self) -> dict[str, Json]:
+        """Returns how clients' calls have ended since the last query, by real instance."""
+        calls: dict[str, Json] = {}
         for helper in self.fleet.clients:
-            told |= (await helper.ask("take"))["instances"]
-        return told
+            calls |= (await helper.ask("take"))["instances"]
+        return calls
 
-    async def _changes_ended(self, before: Before) -> list[Json]:
-        """Those of this day, once their authors are done, or after `AUTHORS_S`."""
-        end_s = time.monotonic() + AUTHORS_S
+    async def _await_changes(self, before: DayStart) -> list[Json]:
+        """Returns the changes of this day once their authors are done, or after `AUTHORS_TIMEOUT_S`."""
+        end_s = time.monotonic() + AUTHORS_TIMEOUT_S
         while True:
-            told = (await self.fleet.authors.ask("look"))["changes"][before.changes :]
-            changes: list[Json] = list(told)
+            day_changes = (await self.fleet.authors.ask("look"))["changes"][before.changes :]
+            changes: list[Json] = list(day_changes)
             if all(change["done"] for change in changes) or time.monotonic() > end_s:
                 return changes
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _switches(self) -> dict[str, list[tuple[float, int]]]:
-        """Of hollow followers and of real instances: of all that decides for clients."""
+    def _collect_switches(self) -> dict[str, list[tuple[float, int]]]:
+        """Returns the switches of all instances that take part in the agreement, hollow and real, by name."""
         fleet, offset_s = self.fleet, time.time() - time.monotonic()
         found = {
             place.name: fleet.views[place.name].switches
-            for host in fleet.layout.of(Role.FOLLOWER, Role.CONTROL)
+            for host in fleet.layout.hosts_of(Role.FOLLOWER, Role.CONTROL)
             for place in host.places
         }
-        for host in fleet.layout.of(Role.REAL):
-            found[host.name] = measure.log_switches(fleet.real[host.name].log, offset_s)
+        for host in fleet.layout.hosts_of(Role.REAL):
+            found[host.name] = measure.read_log_switches(fleet.real[host.name].log, offset_s)
         return found
 
-    def _measured(
+    def _measure_day(
         self,
         day: DayTable,
-        course: Course,
-        before: Before,
+        course: DayCourse,
+        before: DayStart,
         samples: dict[str, Sample],
         length_s: float,
         calls: dict[str, Json],
         changes: list[Json],
         authors_cpu_s: float,
     ) -> DayReport:
-        layout, switches, happened = self.fleet.layout, self._switches(), course.happened
-        rows = measure.change_rows(changes, switches, happened.absences, course.begin_s)
+        layout, switches, events = self.fleet.layout, self._collect_switches(), course.events
+        rows = measure.change_rows(changes, switches, events.absences, course.begin_s)
         without_s = {
             name: view.without_lease_s - before.without_lease_s.get(name, 0.0)
             for name, view in self.fleet.views.items()
         }
-        report = DayReport(day.title, day.kind, round(length_s, 2), changes=rows, notes=happened.notes)
-        report.figures += measure.change_figures(rows, changes)
-        report.figures += measure.return_figures(happened, switches)
-        report.figures += measure.cost_figures(measure.costs(layout, before.samples, samples, length_s))
-        report.figures += measure.author_figures(authors_cpu_s, changes)
-        report.figures += measure.call_figures(layout, calls)
-        report.figures += measure.view_figures(layout, self.fleet.views)
+        report = DayReport(day.title, day.kind, round(length_s, 2), changes=rows, notes=events.notes)
+        report.figures += measure.change_measurements(rows, changes)
+        report.figures += measure.return_measurements(events, switches)
+        report.figures += measure.cost_measurements(measure.costs(layout, before.samples, samples, length_s))
+        report.figures += measure.author_measurements(authors_cpu_s, changes)
+        report.figures += measure.call_measurements(layout, calls)
+        report.figures += measure.view_measurements(layout, self.fleet.views)
         report.proposals = measure.proposals(changes)
-        report.without_lease = measure.lease_figures(layout, without_s)
-        report.calls = measure.call_endings(layout, calls)
+        report.without_lease = measure.lease_measurements(layout, without_s)
+        report.calls = measure.count_call_endings(layout, calls)
         return report
 
-    def blamed(self, told: str) -> tuple[Outcome, str]:
-        """Whose doing it is that an instance lags: its own, or that of a machine without a core for it."""
-        starved = self.fleet.starved()
-        if starved < STARVED_SHARE:
-            return "failed", told
-        return "refused", f"{told}; half of the processes had no core for {starved:.0%} of the time"
+    def classify_lag(self, text: str) -> tuple[Outcome, str]:
+        """Returns `failed` if an instance is overloaded itself, `refused` if the machine had no core left."""
+        core_wait_share = self.fleet.core_wait_share()
+        if core_wait_share < STARVED_SHARE:
+            return "failed", text
+        return "refused", f"{text}; half of the processes had no core for {core_wait_share:.0%} of the time"
 
-    async def _judge_timers(self) -> None:
-        """Where the run's own processes were late, no figure of it counts; all are told all the same."""
+    async def _check_timers(self) -> None:
+        """Refuses the run if timers of its own processes were late. Its measurements don't count then."""
         late = self.report.lateness
         late["run"] = self.fleet.lateness.told()
         for helper in (*self.fleet.clients, *self.fleet.servers):
             late[helper.name] = await helper.ask("late")
         busy = list(self.fleet.busy)
-        for name, told in late.items():
-            if told["mean_s"] > LATE_S or told["worst_s"] > MOST_LATE_S:
+        for name, timers in late.items():
+            if timers["mean_s"] > LATE_S or timers["worst_s"] > MOST_LATE_S:
                 busy.append(
-                    f"{name}: timers late by {told['mean_s']:.3f} s in the mean, "
-                    f"{told['worst_s']:.2f} s at worst"
+                    f"{name}: timers late by {timers['mean_s']:.3f} s in the mean, "
+                    f"{timers['worst_s']:.2f} s at worst"
                 )
         if busy:
             self.report.outcome = "refused"
             self.report.why = f"the machine was too busy, {len(busy)} times: {busy[0]}"
 
 
-async def play(plan: ScalePlan, folder: Path, say: Say = lambda _: None) -> Report:
-    """As `run`, within an event loop."""
+async def play(plan: ScalePlan, folder: Path, show_progress: ShowProgress = lambda _: None) -> Report:
+    """Does what `run` does, within an event loop."""
     check_size(plan)
-    begin_s = time.monotonic()
+    start_s = time.monotonic()
     folder.mkdir(parents=True)
-    made = Run(plan, folder, say)
-    report = made.report
+    this_run = Run(plan, folder, show_progress)
+    report = this_run.report
     try:
         try:
-            await made.play()
-        except HollowLags as lags:
-            report.outcome, report.why = made.blamed(str(lags))
+            await this_run.play()
+        except HollowUnresponsive as unresponsive:
+            report.outcome, report.why = this_run.classify_lag(str(unresponsive))
         finally:
-            await made.fleet.end()
+            await this_run.fleet.end()
     except HollowLost as lost:
         report.outcome, report.why = _outcome("failed", str(lost))
     except (RigError, OSError) as error:
         report.outcome, report.why = _outcome("error", str(error))
-    report.took_s = round(time.monotonic() - begin_s, 2)
-    (folder / "report.json").write_text(json.dumps(report.told(), indent=1))
+    report.took_s = round(time.monotonic() - start_s, 2)
+    (folder / "report.json").write_text(json.dumps(report.to_json(), indent=1))
     return report
 
 
@@ -204,7 +208,10 @@
     return outcome, why
 
 
-def run(plan: ScalePlan, folder: Path, say: Say = lambda _: None) -> Report:
-    """Play `plan` in `folder`, which must not be there yet, and report. Raises PlanRefused for a plan that is
-    too large for the machine, OSError if the folder can't be made; all else is told as the outcome."""
-    return asyncio.run(play(plan, folder, say))
+def run(plan: ScalePlan, folder: Path, show_progress: ShowProgress = lambda _: None) -> Report:
+    """Runs `plan` in `folder`, which must not exist yet, and reports. Any other failure becomes the outcome.
+
+    Raises:
+        PlanRefused: the plan is too large for the machine.
+        OSError: the folder can't be created, or all address blocks are in use."""
+    return asyncio.run(play(plan, folder, show_progress))
--- a/client_proxy/scale/topology.py
+++ b/client_proxy/scale/topology.py
@@ -1,4 +1,4 @@
-"""Who there is in a scale run, and where: members, addresses, zones, and the processes that hold them."""
+"""Layout of a scale run: the instances with their members, addresses and zones, and their processes."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 AGREEMENT_PORT = 7947
 GOSSIP_PORT = 7946
-HOSTS_PER_PART = 250  # of the last number of an address
-FIRST_BLOCK, BLOCKS = 128, 120  # 127.128 to 127.247: drills of the rig have those below
+HOSTS_PER_PART = 250  # hosts that differ in the last number of their addresses only
+FIRST_BLOCK, BLOCKS = 128, 120  # blocks 127.128 to 127.247; drills of the rig use those below
 
 
-class Claim:
-    """A block of addresses that no other run on this machine has, for as long as it is held."""
+class AddressClaim:
+    """Reserves a block of loopback addresses against other runs on this machine until it is released."""
 
     def __init__(self) -> None:
-        """Raises OSError if all of them are taken."""
+        """Raises OSError if all blocks are taken."""
         for nth in range(BLOCKS):
             self.block = FIRST_BLOCK + (os.getpid() + nth) % BLOCKS
             self._socket = socket.socket()
@@ -36,6 +36,8 @@
 
 
 class Role(Enum):
+    """What an instance is for; the values stand in reports."""
+
     CONTROL = "control machine"
     FOLLOWER = "hollow follower"
     REAL = "real instance"
@@ -44,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """One instance: its number in the agreement, where it stands and where it listens."""
+    """One instance: its member number in the agreement, its region and zone, and its address."""
 
     name: str
     member: int
@@ -64,14 +66,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """A process, and the instances in it. All of them stand in one zone."""
+    """A process and the instances that it holds, which are all in one zone."""
 
     name: str
     role: Role
     places: tuple[Place, ...]
 
     @property
-    def described(self) -> str:
+    def label(self) -> str:
+        """The process by name, with the range of its instances if it holds several."""
         if len(self.places) == 1:
             return self.places[0].name
         return f"{self.name} ({self.places[0].name} to {self.places[-1].name})"
@@ -79,10 +82,12 @@
 
 @dataclass
 class Layout:
-    """Numbers members from 1: control machines first, then followers, then real instances."""
+    """All instances and processes of a plan.
+
+    Members are numbered from 1: control machines first, then followers, then real instances."""
 
     plan: ScalePlan
-    block: int = FIRST_BLOCK  # the second number of all addresses
+    block: int = FIRST_BLOCK  # second number of all addresses of this run
     hosts: list[Host] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -95,11 +100,11 @@
     def places(self) -> list[Place]:
         return [place for host in self.hosts for place in host.places]
 
-    def of(self, *roles: Role) -> list[Host]:
+    def hosts_of(self, *roles: Role) -> list[Host]:
         return [host for host in self.hosts if host.role in roles]
 
     def helper_count(self) -> int:
-        """Processes of servers, clients, authors and discovery."""
+        """Number of processes of emulated servers, clients, authors and discovery."""
         real = self.plan.real.instances + self.plan.real.plain
         clients = -(-real // self.plan.real.per_client)
         return 1 + clients + (self.plan.real.servers if real else 0) + int(self.plan.hollow.discovery)
@@ -108,7 +113,7 @@
         return len(self.hosts) + self.helper_count()
 
     def spare_host(self) -> str:
-        """The address of emulated servers, clients and discovery, which no instance has."""
+        """The host address for emulated servers, clients and discovery, which no instance uses."""
         return f"127.{self.block}.255.1"
 
     def _place(self, name: str, role: Role, region: str, zone: str) -> Place:
@@ -133,26 +138,28 @@
                 zones.append(
                     [self._place(f"{zone}-{n}", Role.FOLLOWER, region.name, zone) for n in range(count)]
                 )
-        for zone_places in self._take_apart(zones):
+        for zone_places in self._add_separate_processes(zones):
             self._add_zone(zone_places)
 
-    def _take_apart(self, zones: list[list[Place]]) -> list[list[Place]]:
-        """Some of them, from zones in turn, have a process of their own."""
-        left = self.plan.apart
-        while left:
+    def _add_separate_processes(self, zones: list[list[Place]]) -> list[list[Place]]:
+        """Gives some followers, taken from the zones in turn, a process of their own.
+
+        Returns the zones without them."""
+        remaining = self.plan.separate_count
+        while remaining:
             for places in zones:
-                if left and len(places) > 1:
+                if remaining and len(places) > 1:
                     place = places.pop()
                     self.hosts.append(Host(f"alone-{place.name}", Role.FOLLOWER, (place,)))
-                    left -= 1
+                    remaining -= 1
         return zones
 
     def _add_zone(self, places: list[Place]) -> None:
         size = self.plan.hollow.per_process
         count = -(-len(places) // size)
         for nth in range(count):
-            some = tuple(places[nth::count])
-            self.hosts.append(Host(f"hollow-{places[0].zone}-{nth}", Role.FOLLOWER, some))
+            group = tuple(places[nth::count])
+            self.hosts.append(Host(f"hollow-{places[0].zone}-{nth}", Role.FOLLOWER, group))
 
     def _add_real(self) -> None:
         zones = [(region.name, zone) for region in self.plan.region for zone in region.zones]
--- a/tests/scale/__init__.py
+++ b/tests/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of scale."""
+"""Tests of scale runs."""
--- a/tests/scale/test_plan.py
+++ b/tests/scale/test_plan.py
@@ -1,4 +1,4 @@
-"""What a scale file may not say or ask for: one line with file and key, and nothing is started."""
+"""Validation of scale plans: an invalid plan yields one line with file and key, and nothing is started."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from client_proxy.fault_injection.child_process import ROOT
 from client_proxy.scale import command
 from client_proxy.scale import plan as plans
-from client_proxy.scale.topology import Claim, Layout, Role
+from client_proxy.scale.topology import AddressClaim, Layout, Role
 
 REGION = '[[region]]\nname = "north"\nzones = ["a", "b"]\ninstances = {instances}\ncontrol = {control}\n'
 DAY = '[[day]]\nkind = "quiet"\n'
 
 
-def asked(folder: Path, text: str, monkeypatch: pytest.MonkeyPatch) -> Result:
-    """The command, with nothing that it could start."""
+def run_command(folder: Path, text: str, monkeypatch: pytest.MonkeyPatch) -> Result:
+    """Runs the command on a plan; the test fails if it starts a run."""
     file = folder / "asked.toml"
     file.write_text(text)
 
-    def started(*_: object) -> None:
-        raise AssertionError("it was started")
+    def refuse_start(*_: object) -> None:
+        raise AssertionError("the run was started")
 
-    monkeypatch.setattr(command, "run", started)
+    monkeypatch.setattr(command, "run", refuse_start)
     return CliRunner().invoke(main, ["scale", "run", str(file)])
 
 
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         (file_text(more="[real]\nspeed = 3\n"), "asked.toml:10: real.speed: not a known key"),
         (file_text(instances=0), "region.0.instances: 0: "),
@@ -57,37 +57,37 @@
         ("memory_mb = 100.0\n" + file_text(), "memory_mb: about "),
     ],
 )
-def test_a_file_that_asks_for_what_it_may_not_is_refused_in_one_line(
-    text: str, told: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+def test_an_invalid_or_too_large_plan_is_refused_in_one_line(
+    text: str, expected: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    result = asked(tmp_path, text, monkeypatch)
+    result = run_command(tmp_path, text, monkeypatch)
     assert result.exit_code == 2, result.output
     (line,) = result.output.strip().splitlines()
     assert line.startswith(str(tmp_path / "asked.toml"))
-    assert told in line
+    assert expected in line
 
 
-def test_the_shipped_files_are_within_their_bounds() -> None:
+def test_the_example_plans_are_within_the_limits() -> None:
     files = sorted((ROOT / "examples/scale").glob("*.toml"))
     assert len(files) >= 6
     for file in files:
         plan = plans.load(file)
-        assert Layout(plan).process_count() <= plans.MOST_PROCESSES
+        assert Layout(plan).process_count() <= plans.MAX_PROCESSES
     large = plans.load(ROOT / "examples/scale/two-years.toml")
     zones = [zone for region in large.region for zone in region.zones]
     assert (large.instances, len(large.region), len(zones), large.control) == (680, 3, 6, 5)
     assert large.real.instances >= 8
     assert large.most_s <= 600.0
     assert {day.kind for day in large.day} == {"quiet", "changes", "region-cut"}
-    assert next(day for day in large.day if day.kind == "region-cut").lasts_s == 180.0
+    assert next(day for day in large.day if day.kind == "region-cut").fault_length_s == 180.0
 
 
-def test_the_small_file_has_each_kind_of_day() -> None:
+def test_the_small_example_plan_has_each_kind_of_day() -> None:
     small = plans.load(ROOT / "examples/scale/small.toml")
     assert {day.kind for day in small.day} == set(plans.DayKind.__args__)  # type: ignore[attr-defined]
 
 
-def test_each_instance_has_an_address_and_a_number_of_its_own_and_processes_hold_one_zone() -> None:
+def test_addresses_and_member_numbers_are_unique_and_each_process_holds_one_zone() -> None:
     layout = Layout(plans.load(ROOT / "examples/scale/two-years.toml"))
     places = layout.places
     assert len({place.host for place in places}) == len({place.member for place in places}) == len(places)
@@ -98,18 +98,18 @@
 
 def test_instances_that_days_kill_or_stop_have_a_process_of_their_own() -> None:
     layout = Layout(plans.load(ROOT / "examples/scale/crowded-troubled.toml"))
-    alone = [host for host in layout.of(Role.FOLLOWER) if host.name.startswith("alone-")]
+    alone = [host for host in layout.hosts_of(Role.FOLLOWER) if host.name.startswith("alone-")]
     assert [len(host.places) for host in alone] == [1, 1, 1]
-    assert sum(len(host.places) for host in layout.of(Role.FOLLOWER)) == 680
+    assert sum(len(host.places) for host in layout.hosts_of(Role.FOLLOWER)) == 680
 
 
-def test_two_runs_at_a_time_have_addresses_of_their_own() -> None:
-    one, other = Claim(), Claim()
+def test_two_runs_at_the_same_time_have_different_addresses() -> None:
+    one, other = AddressClaim(), AddressClaim()
     try:
         assert one.block != other.block
     finally:
         one.release()
         other.release()
-    again = Claim()
+    again = AddressClaim()
     again.release()
     assert again.block == one.block
