--- a/tests/scale_costs/__init__.py
+++ b/tests/scale_costs/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of scale costs."""
+"""Tests of the cost measurements by size."""
--- a/tests/scale_costs/test_report.py
+++ b/tests/scale_costs/test_report.py
@@ -1,4 +1,4 @@
-"""Rounds, the JSON and the page of the costs, on a cost that is made up."""
+"""Rounds, JSON and page of the cost measurements, with a cost that is made up."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
     )
 
 
-def lines(size: int) -> Readings:
+def read_line(size: int) -> Readings:
     return {"first": 2.0 * size, "second": 3.0}
 
 
-def test_sizes_take_turns_within_a_round() -> None:
+def test_each_round_measures_every_size_once() -> None:
     order: list[int] = []
 
     def measure(size: int) -> Readings:
         order.append(size)
-        return lines(size)
+        return read_line(size)
 
     series = run_rounds(made_up(measure), 3, lambda line: None)
     assert order == [*SIZES] * 3
@@ -38,31 +38,31 @@
     assert series[0].readings[16] == (32.0, 32.0, 32.0)
 
 
-def test_what_is_the_same_each_time_takes_one_round() -> None:
-    series = run_rounds(made_up(lines, "virtual clock"), 3, lambda line: None)
+def test_a_repeatable_cost_takes_one_round() -> None:
+    series = run_rounds(made_up(read_line, "virtual clock"), 3, lambda line: None)
     assert series[0].readings[1] == (2.0,)
 
 
-def test_a_refused_measurement_is_told_and_left_out() -> None:
-    told: list[str] = []
+def test_a_refused_measurement_is_reported_and_left_out() -> None:
+    output: list[str] = []
     busy = iter([True, False])
 
     def measure(size: int) -> Readings:
         if size == 8 and next(busy):
             raise MachineBusy("the load was late")
-        return lines(size)
+        return read_line(size)
 
-    series = run_rounds(made_up(measure), 2, told.append)
+    series = run_rounds(made_up(measure), 2, output.append)
     assert series[0].readings[8] == (16.0,)
     assert series[0].readings[4] == (8.0, 8.0)
-    assert sum("refused" in line for line in told) == 1
+    assert sum("refused" in line for line in output) == 1
 
 
 def test_a_size_without_any_reading_is_not_in_the_series() -> None:
     def measure(size: int) -> Readings:
         if size == 16:
             raise MachineBusy("the load was late")
-        return lines(size)
+        return read_line(size)
 
     series = run_rounds(made_up(measure), 2, lambda line: None)
     assert 16 not in series[0].readings
@@ -71,13 +71,13 @@
 
 def test_fewer_than_five_sizes_are_refused() -> None:
     with pytest.raises(ValueError, match="made_up"):
-        Cost("made_up", "sizes", (1, 2, 3), "counted", (Quantity("first", "us"),), lines)
+        Cost("made_up", "sizes", (1, 2, 3), "counted", (Quantity("first", "us"),), read_line)
 
 
 def test_the_json_has_each_series_with_its_fit_and_command() -> None:
-    series = run_rounds(made_up(lines), 2, lambda line: None)
-    found = report.document(series, "the command", {"cores": 8})
-    entry = json.loads(json.dumps(found))["series"]["made_up.first"]
+    series = run_rounds(made_up(read_line), 2, lambda line: None)
+    document = report.document(series, "the command", {"cores": 8})
+    entry = json.loads(json.dumps(document))["series"]["made_up.first"]
     assert entry["command"] == "the command"
     assert entry["unit"] == "us"
     assert entry["rounds"] == 2
@@ -86,7 +86,7 @@
 
 
 def test_the_page_has_a_plot_of_each_series() -> None:
-    series = run_rounds(made_up(lines), 2, lambda line: None)
+    series = run_rounds(made_up(read_line), 2, lambda line: None)
     page = report.page(series, "the <command>")
     assert page.count("data:image/png;base64,") == 2
     assert "the &lt;command&gt;" in page
@@ -96,10 +96,10 @@
 def test_the_command_writes_json_and_page(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setitem(catalogue.COSTS, "made_up", made_up(lines))
+    monkeypatch.setitem(catalogue.COSTS, "made_up", made_up(read_line))
     to_json, to_page = tmp_path / "slopes.json", tmp_path / "slopes.html"
-    words = ["--costs", "made_up", "--rounds", "2", "--json", str(to_json), "--page", str(to_page)]
-    assert command.main(words) == 0
+    command_line = ["--costs", "made_up", "--rounds", "2", "--json", str(to_json), "--page", str(to_page)]
+    assert command.main(command_line) == 0
     assert set(json.loads(to_json.read_text())["series"]) == {"made_up.first", "made_up.second"}
     assert "made_up.first" in to_page.read_text()
     first_line = json.loads(capsys.readouterr().out.splitlines()[0])
