--- a/client_proxy/scale/files.py
+++ b/client_proxy/scale/files.py
@@ -10,7 +10,7 @@
 from client_proxy.fault_injection.load import KEYED, UNSAFE
 from client_proxy.membership.keys import Ed25519, format_keyring, issue_certificate, write_private_file
 from client_proxy.scale.plan import ScalePlan
-from client_proxy.scale.topology import Layout, Place, Role
+from client_proxy.scale.topology import Layout, Placement, Role
 
 FIRST_POLICY_NAME = "policy.toml"
 INSTANCE_FILE_NAME = "serve.toml"
@@ -69,15 +69,17 @@
             sockets,
         )
         self._authority = Ed25519(derive_secret(plan.seed, "authority"))
-        self._seats = "\n".join(self._seat(place) for place in layout.places if place.role is Role.CONTROL)
+        self._seats = "\n".join(
+            self._seat(placement) for placement in layout.placements if placement.role is Role.CONTROL
+        )
 
-    def _secret(self, place: Place) -> bytes:
-        return derive_secret(self._plan.seed, f"member {place.member}")
+    def _secret(self, placement: Placement) -> bytes:
+        return derive_secret(self._plan.seed, f"member {placement.member}")
 
-    def _seat(self, place: Place) -> str:
-        public = base64.b64encode(Ed25519(self._secret(place)).public_key).decode()
+    def _seat(self, placement: Placement) -> str:
+        public = base64.b64encode(Ed25519(self._secret(placement)).public_key).decode()
         return (
-            f'[[agreement.seat]]\nmember = {place.member}\naddress = "{place.agreement}"\n'
+            f'[[agreement.seat]]\nmember = {placement.member}\naddress = "{placement.agreement_address}"\n'
             f'public = "{public}"\nvotes = true'
         )
 
@@ -85,62 +87,68 @@
         """Returns the path of the control socket of the instance with that name."""
         return self._sockets / f"{name}.sock"
 
-    def write(self, place: Place, home: Path, listen: str) -> Path:
+    def write(self, placement: Placement, home: Path, listen: str) -> Path:
         """Writes the files of one instance into `home` and returns the path of its settings file.
 
         `listen` is the address that its applications connect to."""
         home.mkdir(parents=True, exist_ok=True)
-        if place.role is not Role.PLAIN:
-            self._write_keys(place, home)
-        operators = self._write_operators(place, home)
+        if placement.role is not Role.PLAIN:
+            self._write_keys(placement, home)
+        operators = self._write_operators(placement, home)
         path = home / INSTANCE_FILE_NAME
-        path.write_text(self._instance_text(place, listen, operators))
+        path.write_text(self._instance_text(placement, listen, operators))
         return path
 
-    def _write_keys(self, place: Place, home: Path) -> None:
-        secret = self._secret(place)
-        card = issue_certificate(self._authority, 1, place.member, place.zone, 1, Ed25519(secret).public_key)
+    def _write_keys(self, placement: Placement, home: Path) -> None:
+        secret = self._secret(placement)
+        card = issue_certificate(
+            self._authority, 1, placement.member, placement.zone, 1, Ed25519(secret).public_key
+        )
         groups = {1: derive_secret(self._plan.seed, "group 1")}
-        text = format_keyring(card, place.zone, secret, groups, {1: self._authority.public_key})
+        text = format_keyring(card, placement.zone, secret, groups, {1: self._authority.public_key})
         write_private_file(home / "own.keys", text)
 
-    def _write_operators(self, place: Place, home: Path) -> bool:
-        if not self._plan.hollow.gossip or place.role is Role.PLAIN:
+    def _write_operators(self, placement: Placement, home: Path) -> bool:
+        if not self._plan.hollow.gossip or placement.role is Role.PLAIN:
             return False
-        seeds = ", ".join(f'"{each.gossip}"' for each in self._layout.places[:GOSSIP_SEEDS])
+        seeds = ", ".join(f'"{each.gossip_address}"' for each in self._layout.placements[:GOSSIP_SEEDS])
         keys = home / "own.keys"
         (home / "operators.toml").write_text(
-            f'[gossip]\nkeys = "{keys}"\nlisten = "{place.gossip}"\nseeds = [{seeds}]\n'
+            f'[gossip]\nkeys = "{keys}"\nlisten = "{placement.gossip_address}"\nseeds = [{seeds}]\n'
         )
         return True
 
-    def _instance_text(self, place: Place, listen: str, operators: bool) -> str:
+    def _instance_text(self, placement: Placement, listen: str, operators: bool) -> str:
         plan = self._plan
         real = max(1, plan.real.instances + plan.real.plain)
-        ordinal = place.member % real
+        ordinal = placement.member % real
         lines = [
-            f'name = "{place.name}"',
+            f'name = "{placement.name}"',
             f'listen = "{listen}"',
-            f'hall = "{place.zone}"',
+            f'hall = "{placement.zone}"',
             f"instances = {real}",
             f"ordinal = {ordinal}",
         ]
-        lines += [f'control = "{self.control_socket(place.name)}"'] if place.role is not Role.FOLLOWER else []
+        lines += (
+            [f'control = "{self.control_socket(placement.name)}"']
+            if placement.role is not Role.FOLLOWER
+            else []
+        )
         lines += ['operators = "operators.toml"'] if operators else []
         lines += [
             "[log]",
             'form = "json"',
             "per_event_per_s = 1000",
-            self._policy_source_text(place),
+            self._policy_source_text(placement),
             self._class_tables(),
         ]
         return "\n".join(lines)
 
-    def _policy_source_text(self, place: Place) -> str:
-        if place.role is Role.PLAIN:
+    def _policy_source_text(self, placement: Placement) -> str:
+        if placement.role is Role.PLAIN:
             return f'[servers]\nfile = "{self.first_policy_path}"'
         return (
-            f'[agreement]\nkeys = "own.keys"\nlisten = "{place.agreement}"\n'
+            f'[agreement]\nkeys = "own.keys"\nlisten = "{placement.agreement_address}"\n'
             f'first = "{self.first_policy_path}"\nkeep = "{VERSIONS_FOLDER}"\n'
             f"lease_ms = {self._plan.lease_ms}\n{self._seats}"
         )
--- a/client_proxy/scale/fleet.py
+++ b/client_proxy/scale/fleet.py
@@ -35,7 +35,7 @@
 from client_proxy.fault_injection.plan import Plan as RigPlan
 from client_proxy.scale.files import INSTANCE_FILE_NAME, InstanceFiles, first_policy
 from client_proxy.scale.plan import ScalePlan
-from client_proxy.scale.topology import AddressClaim, Host, Layout, Place, Role
+from client_proxy.scale.topology import AddressClaim, HostProcess, Layout, Placement, Role
 
 SETTLE_TIMEOUT_S = 120.0  # time for all instances to adopt the newest version, at the start and after a day
 EXIT_WAIT_S = 0.5  # time for the system to report a process's end after its pipes have closed
@@ -47,7 +47,7 @@
 MAX_MEAN_LATENESS_S = 0.1  # mean lateness of a process's timers above which it is overloaded
 MAX_LATENESS_S = 1.0  # lateness of a single timer above which the process is overloaded
 MIN_TICKS_FOR_MEAN = 50  # timer ticks before the mean lateness is judged
-STARVED_SHARE = 0.25  # share of the time without a core, median of the processes; from here on too busy
+MAX_CORE_WAIT_SHARE = 0.25  # median share of the time without a core from which the machine is too busy
 MIN_RAN_SHARE = 0.5  # a process that ran for at least this share of its lateness is overloaded itself
 TMPFS = Path("/dev/shm")
 TMPFS_PREFIX = "client-proxy-scale-"  # followed by the process id of the run
@@ -64,7 +64,7 @@
 class HollowProcess(Helper):
     """A child process that holds hollow instances (`hollow.py`)."""
 
-    def __init__(self, host: Host, folder: Path) -> None:
+    def __init__(self, host: HostProcess, folder: Path) -> None:
         super().__init__(host.name, folder)
         self.host = host
 
@@ -91,7 +91,7 @@
     members: int = 0
     listed: int = 0
     switches: list[tuple[float, int]] = field(default_factory=list)
-    reported_s: float = 0.0  # share of `without_lease_s` reported since its last start
+    reported_s: float = 0.0  # part of `without_lease_s` that it has reported since its last start
 
     def add_report(self, fields: Json) -> None:
         """Takes in a report.
@@ -99,11 +99,11 @@
         A restarted instance counts its seconds without a lease from 0 again; those before are kept."""
         self.version, self.newest = fields["version"], fields["newest"]
         self.members, self.listed = fields["members"], fields["listed"]
-        lease_gap_s = fields["without_lease_s"]
+        new_reported_s = fields["without_lease_s"]
         self.without_lease_s += (
-            lease_gap_s - self.reported_s if lease_gap_s >= self.reported_s else lease_gap_s
+            new_reported_s - self.reported_s if new_reported_s >= self.reported_s else new_reported_s
         )
-        self.reported_s = lease_gap_s
+        self.reported_s = new_reported_s
         self.switches += [(at_s, version) for at_s, version in fields["switches"]]
 
 
@@ -125,7 +125,7 @@
     ticks: int = 0
     ran_s: float = 0.0
 
-    def check(self, host: Host, late: Json, ran_s: float) -> str:
+    def check(self, host: HostProcess, late: Json, ran_s: float) -> str:
         """Checks the lateness since the last report.
 
         `ran_s` is the processor time since then. Returns "" if the timers are in time. Returns a description
@@ -209,27 +209,27 @@
         self.checks_lateness = True
         self._just_started.update(self.hollow)
 
-    def home(self, place: Place) -> Path:
+    def home(self, placement: Placement) -> Path:
         """Returns the folder of an instance.
 
         Folders of followers are on tmpfs: hundreds of instances would share one disk here, while each has a
         disk of its own in production."""
-        parent = self.tmpfs if place.role is Role.FOLLOWER else self.folder
-        return parent / place.name
+        parent = self.tmpfs if placement.role is Role.FOLLOWER else self.folder
+        return parent / placement.name
 
     def _write_files(self) -> None:
         self.tmpfs.mkdir()
         for host in self.layout.hosts:
-            for place in host.places:
-                listen = f"{place.host}:1"
+            for placement in host.placements:
+                listen = f"{placement.host}:1"
                 if host.role in (Role.REAL, Role.PLAIN):
-                    self._ports[place.name] = _free_port(place.host)
-                    listen = f"{place.host}:{self._ports[place.name]}"
-                path = self.files.write(place, self.home(place), listen)
-                if place.role is Role.CONTROL:
+                    self._ports[placement.name] = _free_port(placement.host)
+                    listen = f"{placement.host}:{self._ports[placement.name]}"
+                path = self.files.write(placement, self.home(placement), listen)
+                if placement.role is Role.CONTROL:
                     table = load_instance_file(path).file.agreement
                     assert table is not None
-                    initialize_acceptor(table, self.home(place), place.member)
+                    initialize_acceptor(table, self.home(placement), placement.member)
 
     async def _start_servers(self) -> list[str]:
         """Starts the emulated servers and returns one address per server name of the policy.
@@ -283,16 +283,16 @@
         )
         self._discovery_address = answer["doors"][0]
 
-    async def _start_hollow(self, hosts: list[Host]) -> None:
+    async def _start_hollow(self, hosts: list[HostProcess]) -> None:
         start_slots = asyncio.Semaphore(MAX_PARALLEL_STARTS)
 
-        async def begin(host: Host) -> None:
+        async def begin(host: HostProcess) -> None:
             async with start_slots:
                 await self.start_host(host)
 
         await asyncio.gather(*(begin(host) for host in hosts))
 
-    async def start_host(self, host: Host) -> None:
+    async def start_host(self, host: HostProcess) -> None:
         """Starts the host's process and all of its instances.
 
         Raises:
@@ -301,12 +301,12 @@
         process = self.hollow.get(host.name)
         if process is None:
             process = self.hollow[host.name] = HollowProcess(host, self.folder)
-        for place in host.places:
-            self.views.setdefault(place.name, InstanceView())
+        for placement in host.placements:
+            self.views.setdefault(placement.name, InstanceView())
         try:
             await process.begin()
             self._started_s[host.name] = time.monotonic()
-            paths = [str(self.home(place) / INSTANCE_FILE_NAME) for place in host.places]
+            paths = [str(self.home(placement) / INSTANCE_FILE_NAME) for placement in host.placements]
             for first in range(0, len(paths), INSTANCES_PER_ORDER):
                 batch = paths[first : first + INSTANCES_PER_ORDER]
                 await process.ask("begin", paths=batch, discovery=self._discovery_address)
@@ -323,10 +323,10 @@
         silent = isinstance(error.__context__, TimeoutError) and await process.ended(EXIT_WAIT_S) is None
         return HollowUnresponsive(text) if silent else HollowLost(text)
 
-    async def _start_real(self, hosts: list[Host]) -> None:
+    async def _start_real(self, hosts: list[HostProcess]) -> None:
         for host in hosts:
             child = self.real[host.name] = Child(host.name, self.folder)
-            home = self.home(host.places[0])
+            home = self.home(host.placements[0])
             await child.start(
                 "client_proxy.cli", "serve", "--config", str(home / INSTANCE_FILE_NAME), faulty=home
             )
@@ -353,7 +353,7 @@
         await self._wait_until_ready()
 
     def _host(self, name: str) -> str:
-        return next(place.host for place in self.layout.places if place.name == name)
+        return next(placement.host for placement in self.layout.placements if placement.name == name)
 
     async def _wait_until_ready(self) -> None:
         """Waits until all real instances answer their clients' probes. Raises RigError on timeout."""
@@ -409,10 +409,10 @@
     def running_instances(self) -> list[str]:
         """Returns the names of hollow instances whose process isn't killed or stopped by a day."""
         return [
-            place.name
+            placement.name
             for name, process in self.hollow.items()
             if name not in self.taken_down
-            for place in process.host.places
+            for placement in process.host.placements
         ]
 
     def newest_version(self) -> int:
@@ -470,32 +470,32 @@
 
     # Faults
 
-    async def kill_host(self, host: Host) -> None:
+    async def kill_host(self, host: HostProcess) -> None:
         self.taken_down.add(host.name)
         await self.hollow[host.name].kill()
 
-    async def restart_host(self, host: Host) -> None:
+    async def restart_host(self, host: HostProcess) -> None:
         await self.start_host(host)
         self._cpu_s.pop(host.name, None)
         self._just_started.add(host.name)
         self.taken_down.discard(host.name)
 
-    async def pause_host(self, host: Host) -> None:
+    async def pause_host(self, host: HostProcess) -> None:
         self.taken_down.add(host.name)
         await self.hollow[host.name].pause()
 
-    async def resume_host(self, host: Host) -> None:
+    async def resume_host(self, host: HostProcess) -> None:
         process = self.hollow[host.name]
         process.signal(signal.SIGCONT)
         self._just_started.add(host.name)  # its timers are late because it was stopped
         self.taken_down.discard(host.name)
 
-    async def restart_instance(self, host: Host, place: Place) -> None:
+    async def restart_instance(self, host: HostProcess, placement: Placement) -> None:
         """Closes an instance and starts it again from its folder, in the same process."""
-        path = str(self.home(place) / INSTANCE_FILE_NAME)
-        await self.hollow[host.name].ask("restart", name=place.name, path=path)
+        path = str(self.home(placement) / INSTANCE_FILE_NAME)
+        await self.hollow[host.name].ask("restart", name=placement.name, path=path)
 
-    def _agreement_children(self, region: str | None = None) -> list[tuple[Child, Host]]:
+    def _agreement_children(self, region: str | None = None) -> list[tuple[Child, HostProcess]]:
         """Returns running processes that take part in the agreement, of one region or of all."""
         children: dict[str, Child] = {**self.hollow, **self.real}
         return [
@@ -503,12 +503,12 @@
             for host in self.layout.hosts
             if host.role is not Role.PLAIN
             and host.name not in self.taken_down
-            and region in (None, host.places[0].region)
+            and region in (None, host.placements[0].region)
         ]
 
     async def drop_datagrams(self, share: float) -> None:
         """Drops this share of all datagrams that are sent from now on; 0 ends the loss."""
-        all_hosts = [place.host for place in self.layout.places]
+        all_hosts = [placement.host for placement in self.layout.placements]
         kind = "loss" if share else ""
         for child, _ in self._agreement_children():
             await child.order(do="datagrams", to=all_hosts, kind=kind, share=share)
@@ -517,12 +517,12 @@
         """Cuts datagrams and streams between a region and the others, or restores them.
 
         Returns how many datagrams and dials the fault layers have held back so far, by kind."""
-        inside = [place.host for place in self.layout.places if place.region == region]
-        outside = [place.host for place in self.layout.places if place.region != region]
+        inside = [placement.host for placement in self.layout.placements if placement.region == region]
+        outside = [placement.host for placement in self.layout.placements if placement.region != region]
         kind = "loss" if cut else ""
         held_back: dict[str, int] = {}
         for child, host in self._agreement_children():
-            others = outside if host.places[0].region == region else inside
+            others = outside if host.placements[0].region == region else inside
             await child.order(do="streams", to=others, cut=cut)
             answer = await child.order(do="datagrams", to=others, kind=kind, share=1.0)
             for what, count in answer["counts"].items():
--- a/client_proxy/scale/hollow.py
+++ b/client_proxy/scale/hollow.py
@@ -237,24 +237,26 @@
 
 
 def orders() -> dict[str, Order]:
-    process = HollowInstances()
+    hollow_instances = HollowInstances()
     watch_tasks: list[asyncio.Task[None]] = []
 
     async def begin(order: Json) -> None:
-        """Starts the instances with the settings files `paths`. `discovery` is its address, or none."""
+        """Starts the instances with the settings files `paths`.
+
+        `discovery` is the address of the discovery service, or none."""
         address: Any = order.get("discovery")
-        process.discovery = (str(address[0]), int(address[1])) if address else None
-        await process.begin(order["paths"])
+        hollow_instances.discovery = (str(address[0]), int(address[1])) if address else None
+        await hollow_instances.begin(order["paths"])
         if not watch_tasks:
-            watch_tasks.append(asyncio.get_running_loop().create_task(process.watch()))
+            watch_tasks.append(asyncio.get_running_loop().create_task(hollow_instances.watch()))
 
     async def report(order: Json) -> Json:
-        return process.report()
+        return hollow_instances.report()
 
     async def restart(order: Json) -> None:
         """Closes the instance `name` and starts it again from its folder; `path` is its settings file."""
-        process.instances.pop(order["name"]).close()
-        await process.begin([order["path"]])
+        hollow_instances.instances.pop(order["name"]).close()
+        await hollow_instances.begin([order["path"]])
 
     return {"begin": begin, "report": report, "restart": restart}
 
--- a/client_proxy/scale/measure.py
+++ b/client_proxy/scale/measure.py
@@ -25,7 +25,7 @@
     Measurement,
     summarize,
 )
-from client_proxy.scale.topology import Host, Layout, Role
+from client_proxy.scale.topology import HostProcess, Layout, Role
 
 CPU = "processor time"
 MEMORY = "memory"
@@ -61,10 +61,9 @@
     """Faults and restarts of a day, apart from its policy changes. Times are monotonic seconds."""
 
     absences: list[Absence] = field(default_factory=list)
-    returns: list[tuple[str, float]] = field(default_factory=list)  # instance that was restarted, and when
-    healed: list[tuple[str, float]] = field(
-        default_factory=list
-    )  # instance that was cut off, and when the cut ended
+    returns: list[tuple[str, float]] = field(default_factory=list)  # restarted instances, and when
+    # Instances that were cut off, and when the cut ended.
+    healed: list[tuple[str, float]] = field(default_factory=list)
     notes: list[str] = field(default_factory=list)  # lines for the report
 
     def add_absences(self, names: Iterable[str], from_s: float) -> list[Absence]:
@@ -185,7 +184,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Use of one instance over a day. Processor and waiting time are % of a core; 1 KB is 1024 bytes."""
+    """Resource use of one instance over a day.
+
+    `cpu_percent` is of a core, `waited_percent` of the time. 1 KB is 1024 bytes."""
 
     cpu_percent: float
     mb: float
@@ -196,20 +197,20 @@
     waited_percent: float
 
 
-def cost(host: Host, before: Sample, after: Sample, length_s: float) -> Cost | None:
+def cost(host: HostProcess, before: Sample, after: Sample, length_s: float) -> Cost | None:
     """Returns the cost of a process, divided by its instances; None if it was restarted meanwhile."""
     if after.cpu_s < before.cpu_s or any(
         after.traffic.get(key, 0) < count for key, count in before.traffic.items()
     ):
         return None
-    share = length_s * len(host.places)
+    share = length_s * len(host.placements)
 
     def rate(*keys: str) -> float:
         return sum(after.traffic.get(key, 0) - before.traffic.get(key, 0) for key in keys) / share
 
     return Cost(
         100.0 * (after.cpu_s - before.cpu_s) / share,
-        after.rss_kb / 1024.0 / len(host.places),
+        after.rss_kb / 1024.0 / len(host.placements),
         rate("bytes_sent", "stream_bytes_sent") / 1024.0,
         rate("bytes_received", "stream_bytes_received") / 1024.0,
         rate("sent"),
@@ -226,11 +227,11 @@
     Small processes of followers are left out: an instance alone in its process bears the whole fixed cost
     that the instances of a large process share."""
     costs_by_role: dict[Role, list[Cost]] = {role: [] for role in Role}
-    largest = max((len(host.places) for host in layout.hosts_of(Role.FOLLOWER)), default=0)
+    largest = max((len(host.placements) for host in layout.hosts_of(Role.FOLLOWER)), default=0)
     for host in layout.hosts:
         if host.name not in before or host.name not in after:
             continue
-        if host.role is Role.FOLLOWER and len(host.places) * 2 < largest:
+        if host.role is Role.FOLLOWER and len(host.placements) * 2 < largest:
             continue
         instance_cost = cost(host, before[host.name], after[host.name], length_s)
         if instance_cost is not None:
@@ -290,33 +291,33 @@
     rows: list[Measurement] = []
     newest = max((number for switched in switches.values() for _, number in switched), default=0)
     for name, since in ((RETURNED, events.returns), (HEALED, events.healed)):
-        took: list[float] = []
+        durations_s: list[float] = []
         for instance, from_s in since:
             needed = newest if name == HEALED else 0
             later = [at_s for at_s, number in switches[instance] if at_s >= from_s and number >= needed]
-            took += [min(later) - from_s] if later else []
+            durations_s += [min(later) - from_s] if later else []
         if since:
-            rows.append(summarize(name, "s", took))
+            rows.append(summarize(name, "s", durations_s))
     return rows
 
 
 def view_measurements(layout: Layout, views: Mapping[str, InstanceView]) -> list[Measurement]:
     """Returns the sizes of followers' gossip tables and discovery lists at the end of the day, if in use."""
-    seen = [views[p.name] for p in layout.places if p.role is Role.FOLLOWER and p.name in views]
+    follower_views = [views[p.name] for p in layout.placements if p.role is Role.FOLLOWER and p.name in views]
     rows: list[Measurement] = []
     if layout.plan.hollow.gossip:
-        rows.append(summarize(MEMBERS, "", (float(v.members) for v in seen), Role.FOLLOWER.value))
+        rows.append(summarize(MEMBERS, "", (float(v.members) for v in follower_views), Role.FOLLOWER.value))
     if layout.plan.hollow.discovery:
-        rows.append(summarize(LISTED, "", (float(v.listed) for v in seen), Role.FOLLOWER.value))
+        rows.append(summarize(LISTED, "", (float(v.listed) for v in follower_views), Role.FOLLOWER.value))
     return rows
 
 
 def lease_measurements(layout: Layout, without_s: Mapping[str, float]) -> dict[str, Measurement]:
     """Returns the seconds without a lease of hollow followers, by region."""
     by_region: dict[str, list[float]] = defaultdict(list)
-    for place in layout.places:
-        if place.role is Role.FOLLOWER and place.name in without_s:
-            by_region[place.region].append(without_s[place.name])
+    for placement in layout.placements:
+        if placement.role is Role.FOLLOWER and placement.name in without_s:
+            by_region[placement.region].append(without_s[placement.name])
     return {
         region: summarize("without a lease", "s", values, Role.FOLLOWER.value)
         for region, values in by_region.items()
@@ -326,16 +327,20 @@
 def count_call_endings(layout: Layout, calls: Mapping[str, Json]) -> dict[str, dict[str, int]]:
     """Counts by region how client calls to real instances under the agreement ended."""
     endings_by_region: dict[str, Counter[str]] = defaultdict(Counter)
-    for place in layout.places:
-        if place.role is Role.REAL and place.name in calls:
-            endings_by_region[place.region].update(calls[place.name]["endings"])
+    for placement in layout.placements:
+        if placement.role is Role.REAL and placement.name in calls:
+            endings_by_region[placement.region].update(calls[placement.name]["endings"])
     return {region: dict(endings) for region, endings in endings_by_region.items()}
 
 
 def call_measurements(layout: Layout, calls: Mapping[str, Json]) -> list[Measurement]:
     rows: list[Measurement] = []
     for role in (Role.REAL, Role.PLAIN):
-        names = [place.name for place in layout.places if place.role is role and place.name in calls]
+        names = [
+            placement.name
+            for placement in layout.placements
+            if placement.role is role and placement.name in calls
+        ]
         for key, text in (("p50_ms", "call, median"), ("p99_ms", "call, 99th percentile")):
             values = [calls[name][key] for name in names if calls[name][key] is not None]
             if values:
--- a/client_proxy/scale/phases.py
+++ b/client_proxy/scale/phases.py
@@ -10,7 +10,7 @@
 from client_proxy.scale.fleet import Fleet
 from client_proxy.scale.measure import DayEvents
 from client_proxy.scale.plan import DayTable
-from client_proxy.scale.topology import Host, Place, Role
+from client_proxy.scale.topology import HostProcess, Placement, Role
 
 FAULT_START_SHARE = 1 / 6  # share of the day's length after which its fault begins
 AUTHOR_GRACE_S = 30.0  # time after the day's end in which authors may still begin a try
@@ -27,32 +27,32 @@
 
     async def play(self) -> None:
         """Runs the day to its end. Raises HollowLost, HollowUnresponsive or RigError."""
-        courses: dict[str, Callable[[], Awaitable[None]]] = {
+        actions: dict[str, Callable[[], Awaitable[None]]] = {
             "quiet": self._stay_quiet,
             "changes": self._outages_and_loss,
-            "restarts": self._restarts,
-            "zone-back": self._zone_back,
-            "rack": self._rack,
-            "control-down": self._control_down,
-            "region-cut": self._region_cut,
-            "start-all": self._start_all,
+            "restarts": self._restart_followers,
+            "zone-back": self._kill_zone,
+            "rack": self._kill_rack,
+            "control-down": self._kill_control_machines,
+            "region-cut": self._cut_region,
+            "start-all": self._restart_all,
         }
         self.begin_s = time.monotonic()
-        changes = asyncio.create_task(self._changes())
+        changes = asyncio.create_task(self._propose_changes())
         try:
-            await courses[self._day.kind]()
+            await actions[self._day.kind]()
             await changes
-            await self._until(self._day.length_s)
+            await self._sleep_until(self._day.length_s)
         finally:
             changes.cancel()
 
-    async def _until(self, at_s: float) -> None:
+    async def _sleep_until(self, at_s: float) -> None:
         await asyncio.sleep(max(0.0, self.begin_s + at_s - time.monotonic()))
 
     async def _stay_quiet(self) -> None:
         """Does nothing; the day only measures."""
 
-    async def _changes(self) -> None:
+    async def _propose_changes(self) -> None:
         """Proposes the day's changes in rounds, spread evenly over the day.
 
         In each round every author proposes one change at the same time, for a service of its own."""
@@ -60,11 +60,11 @@
         rounds = -(-day.changes // day.authors)
         for number in range(day.changes):
             round_number, author = divmod(number, day.authors)
-            await self._until(day.length_s * (round_number + 0.5) / rounds)
+            await self._sleep_until(day.length_s * (round_number + 0.5) / rounds)
             service = (author + day.authors * round_number) % min(plan.policy.services, plan.policy.servers)
-            await self._propose(number, author, service)
+            await self._propose_change(number, author, service)
 
-    async def _propose(self, number: int, author: int, service: int) -> None:
+    async def _propose_change(self, number: int, author: int, service: int) -> None:
         control = f"control-{author % self._fleet.plan.control}"
         await self._fleet.authors.ask(
             "change",
@@ -80,23 +80,23 @@
 
     # Faults
 
-    def _names(self, hosts: Iterable[Host]) -> list[str]:
-        return [place.name for host in hosts for place in host.places]
+    def _instance_names(self, hosts: Iterable[HostProcess]) -> list[str]:
+        return [placement.name for host in hosts for placement in host.placements]
 
-    async def _kill_hosts(self, hosts: list[Host]) -> None:
+    async def _kill_hosts(self, hosts: list[HostProcess]) -> None:
         for host in hosts:
             await self._fleet.kill_host(host)
 
-    async def _restart_hosts(self, hosts: list[Host]) -> None:
+    async def _restart_hosts(self, hosts: list[HostProcess]) -> None:
         """Starts killed processes again, all at once."""
         at_s = time.monotonic()
-        self.events.returns += [(name, at_s) for name in self._names(hosts)]
+        self.events.returns += [(name, at_s) for name in self._instance_names(hosts)]
         await asyncio.gather(*(self._fleet.restart_host(host) for host in hosts))
 
-    async def _kill_for_fault_length(self, hosts: list[Host]) -> None:
+    async def _kill_for_fault_length(self, hosts: list[HostProcess]) -> None:
         """Kills the processes at the beginning of the day's fault and restarts them at its end."""
-        await self._until(self._day.length_s * FAULT_START_SHARE)
-        absences = self.events.add_absences(self._names(hosts), time.monotonic())
+        await self._sleep_until(self._day.length_s * FAULT_START_SHARE)
+        absences = self.events.add_absences(self._instance_names(hosts), time.monotonic())
         await self._kill_hosts(hosts)
         await asyncio.sleep(self._day.fault_length_s)
         await self._restart_hosts(hosts)
@@ -108,13 +108,13 @@
         day, fleet = self._day, self._fleet
         alone = [h for h in fleet.layout.hosts_of(Role.FOLLOWER) if h.name.startswith("alone-")]
         down, stopped = alone[: day.down], alone[day.down : day.down + day.stopped]
-        absences = self.events.add_absences(self._names([*down, *stopped]), time.monotonic())
+        absences = self.events.add_absences(self._instance_names([*down, *stopped]), time.monotonic())
         if day.loss:
             await fleet.drop_datagrams(day.loss)
         await self._kill_hosts(down)
         for host in stopped:
             await fleet.pause_host(host)
-        await self._until(day.length_s)
+        await self._sleep_until(day.length_s)
         if day.loss:
             await fleet.drop_datagrams(0.0)
         for host in stopped:
@@ -124,43 +124,49 @@
         for absence in absences:
             absence.to_s = time.monotonic()
 
-    async def _restarts(self) -> None:
+    async def _restart_followers(self) -> None:
         """Restarts randomly chosen followers one after the other, spread evenly over the day."""
         day, fleet = self._day, self._fleet
-        choices = [(host, place) for host in fleet.layout.hosts_of(Role.FOLLOWER) for place in host.places]
+        choices = [
+            (host, placement)
+            for host in fleet.layout.hosts_of(Role.FOLLOWER)
+            for placement in host.placements
+        ]
         chosen = self._random.sample(choices, min(day.restarts, len(choices)))
-        for nth, (host, place) in enumerate(chosen):
-            await self._until(day.length_s * (nth + 0.5) / len(chosen))
-            await self._restart(host, place)
+        for nth, (host, placement) in enumerate(chosen):
+            await self._sleep_until(day.length_s * (nth + 0.5) / len(chosen))
+            await self._restart_follower(host, placement)
 
-    async def _restart(self, host: Host, place: Place) -> None:
+    async def _restart_follower(self, host: HostProcess, placement: Placement) -> None:
         at_s = time.monotonic()
-        absence = self.events.add_absences([place.name], at_s)[0]
-        self.events.returns.append((place.name, at_s))
-        await self._fleet.restart_instance(host, place)
+        absence = self.events.add_absences([placement.name], at_s)[0]
+        self.events.returns.append((placement.name, at_s))
+        await self._fleet.restart_instance(host, placement)
         absence.to_s = time.monotonic()
 
-    def _hosts_in_zone(self, zone: str, *roles: Role) -> list[Host]:
-        return [host for host in self._fleet.layout.hosts_of(*roles) if host.places[0].zone == zone]
+    def _hosts_in_zone(self, zone: str, *roles: Role) -> list[HostProcess]:
+        return [host for host in self._fleet.layout.hosts_of(*roles) if host.placements[0].zone == zone]
 
-    async def _zone_back(self) -> None:
+    async def _kill_zone(self) -> None:
         await self._kill_for_fault_length(self._hosts_in_zone(self._day.zone, Role.FOLLOWER))
 
-    async def _rack(self) -> None:
+    async def _kill_rack(self) -> None:
         """Kills one process of the zone's followers together with control machines."""
         control = self._fleet.layout.hosts_of(Role.CONTROL)[-self._day.control :] if self._day.control else []
         await self._kill_for_fault_length(
             [*self._hosts_in_zone(self._day.zone, Role.FOLLOWER)[-1:], *control]
         )
 
-    async def _control_down(self) -> None:
+    async def _kill_control_machines(self) -> None:
         count = self._day.control
         await self._kill_for_fault_length(self._fleet.layout.hosts_of(Role.CONTROL)[-count:] if count else [])
 
-    async def _region_cut(self) -> None:
+    async def _cut_region(self) -> None:
         day, fleet = self._day, self._fleet
-        names = [p.name for p in fleet.layout.places if p.region == day.region and p.role is not Role.PLAIN]
-        await self._until(day.length_s * FAULT_START_SHARE)
+        names = [
+            p.name for p in fleet.layout.placements if p.region == day.region and p.role is not Role.PLAIN
+        ]
+        await self._sleep_until(day.length_s * FAULT_START_SHARE)
         before = await fleet.cut_region(day.region, True)
         absences = self.events.add_absences(names, time.monotonic())
         await asyncio.sleep(day.fault_length_s)
@@ -175,11 +181,11 @@
             f"cut for {day.fault_length_s:g} s: {lost} datagrams, {dials} dials held back"
         )
 
-    async def _start_all(self) -> None:
+    async def _restart_all(self) -> None:
         """Kills all processes of hollow instances and starts them all at once."""
-        await self._until(self._day.length_s * FAULT_START_SHARE)
+        await self._sleep_until(self._day.length_s * FAULT_START_SHARE)
         hosts = self._fleet.layout.hosts_of(Role.CONTROL, Role.FOLLOWER)
-        absences = self.events.add_absences(self._names(hosts), time.monotonic())
+        absences = self.events.add_absences(self._instance_names(hosts), time.monotonic())
         await self._kill_hosts(hosts)
         await self._restart_hosts(hosts)
         for absence in absences:
--- a/client_proxy/scale/run.py
+++ b/client_proxy/scale/run.py
@@ -12,7 +12,7 @@
 from client_proxy.fault_injection.child_process import Json, RigError
 from client_proxy.fault_injection.scenario_runner import LATE_S, MOST_LATE_S
 from client_proxy.scale import measure
-from client_proxy.scale.fleet import STARVED_SHARE, Fleet, HollowLost, HollowUnresponsive, Sample
+from client_proxy.scale.fleet import MAX_CORE_WAIT_SHARE, Fleet, HollowLost, HollowUnresponsive, Sample
 from client_proxy.scale.phases import DayCourse
 from client_proxy.scale.plan import DayTable, ScalePlan, check_size
 from client_proxy.scale.report import DayReport, Outcome, Report
@@ -118,14 +118,14 @@
     def _collect_switches(self) -> dict[str, list[tuple[float, int]]]:
         """Returns the switches of all instances that take part in the agreement, hollow and real, by name."""
         fleet, offset_s = self.fleet, time.time() - time.monotonic()
-        found = {
-            place.name: fleet.views[place.name].switches
+        switches = {
+            placement.name: fleet.views[placement.name].switches
             for host in fleet.layout.hosts_of(Role.FOLLOWER, Role.CONTROL)
-            for place in host.places
+            for placement in host.placements
         }
         for host in fleet.layout.hosts_of(Role.REAL):
-            found[host.name] = measure.read_log_switches(fleet.real[host.name].log, offset_s)
-        return found
+            switches[host.name] = measure.read_log_switches(fleet.real[host.name].log, offset_s)
+        return switches
 
     def _measure_day(
         self,
@@ -156,10 +156,10 @@
         report.calls = measure.count_call_endings(layout, calls)
         return report
 
-    def classify_lag(self, text: str) -> tuple[Outcome, str]:
+    def classify_unresponsive(self, text: str) -> tuple[Outcome, str]:
         """Returns `failed` if an instance is overloaded itself, `refused` if the machine had no core left."""
         core_wait_share = self.fleet.core_wait_share()
-        if core_wait_share < STARVED_SHARE:
+        if core_wait_share < MAX_CORE_WAIT_SHARE:
             return "failed", text
         return "refused", f"{text}; half of the processes had no core for {core_wait_share:.0%} of the time"
 
@@ -192,7 +192,7 @@
         try:
             await this_run.play()
         except HollowUnresponsive as unresponsive:
-            report.outcome, report.why = this_run.classify_lag(str(unresponsive))
+            report.outcome, report.why = this_run.classify_unresponsive(str(unresponsive))
         finally:
             await this_run.fleet.end()
     except HollowLost as lost:
--- a/client_proxy/scale/topology.py
+++ b/client_proxy/scale/topology.py
@@ -11,7 +11,7 @@
 
 AGREEMENT_PORT = 7947
 GOSSIP_PORT = 7946
-HOSTS_PER_PART = 250  # hosts that differ in the last number of their addresses only
+ADDRESSES_PER_SUBNET = 250  # addresses that differ in their last number only
 FIRST_BLOCK, BLOCKS = 128, 120  # blocks 127.128 to 127.247; drills of the rig use those below
 
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Placement:
     """One instance: its member number in the agreement, its region and zone, and its address."""
 
     name: str
@@ -56,28 +56,28 @@
     host: str
 
     @property
-    def agreement(self) -> str:
+    def agreement_address(self) -> str:
         return f"{self.host}:{AGREEMENT_PORT}"
 
     @property
-    def gossip(self) -> str:
+    def gossip_address(self) -> str:
         return f"{self.host}:{GOSSIP_PORT}"
 
 
 @dataclass(frozen=True, slots=True)
-class Host:
+class HostProcess:
     """A process and the instances that it holds, which are all in one zone."""
 
     name: str
     role: Role
-    places: tuple[Place, ...]
+    placements: tuple[Placement, ...]
 
     @property
     def label(self) -> str:
         """The process by name, with the range of its instances if it holds several."""
-        if len(self.places) == 1:
-            return self.places[0].name
-        return f"{self.name} ({self.places[0].name} to {self.places[-1].name})"
+        if len(self.placements) == 1:
+            return self.placements[0].name
+        return f"{self.name} ({self.placements[0].name} to {self.placements[-1].name})"
 
 
 @dataclass
@@ -88,7 +88,7 @@
 
     plan: ScalePlan
     block: int = FIRST_BLOCK  # second number of all addresses of this run
-    hosts: list[Host] = field(default_factory=list)
+    hosts: list[HostProcess] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self._member = 0
@@ -97,10 +97,11 @@
         self._add_real()
 
     @property
-    def places(self) -> list[Place]:
-        return [place for host in self.hosts for place in host.places]
+    def placements(self) -> list[Placement]:
+        return [placement for host in self.hosts for placement in host.placements]
 
-    def hosts_of(self, *roles: Role) -> list[Host]:
+    def hosts_of(self, *roles: Role) -> list[HostProcess]:
+        """Returns the processes with one of these roles."""
         return [host for host in self.hosts if host.role in roles]
 
     def helper_count(self) -> int:
@@ -116,55 +117,58 @@
         """The host address for emulated servers, clients and discovery, which no instance uses."""
         return f"127.{self.block}.255.1"
 
-    def _place(self, name: str, role: Role, region: str, zone: str) -> Place:
+    def _add_placement(self, name: str, role: Role, region: str, zone: str) -> Placement:
         self._member += 1
-        part, host = divmod(self._member - 1, HOSTS_PER_PART)
-        return Place(name, self._member, role, region, zone, f"127.{self.block}.{part}.{host + 1}")
+        subnet, host = divmod(self._member - 1, ADDRESSES_PER_SUBNET)
+        return Placement(name, self._member, role, region, zone, f"127.{self.block}.{subnet}.{host + 1}")
 
     def _add_control(self) -> None:
         number = 0
         for region in self.plan.region:
             for nth in range(region.control):
                 zone = region.zones[nth % len(region.zones)]
-                place = self._place(f"control-{number}", Role.CONTROL, region.name, zone)
-                self.hosts.append(Host(place.name, Role.CONTROL, (place,)))
+                placement = self._add_placement(f"control-{number}", Role.CONTROL, region.name, zone)
+                self.hosts.append(HostProcess(placement.name, Role.CONTROL, (placement,)))
                 number += 1
 
     def _add_followers(self) -> None:
-        zones: list[list[Place]] = []
+        zones: list[list[Placement]] = []
         for region in self.plan.region:
             for nth, zone in enumerate(region.zones):
                 count = len(range(nth, region.instances, len(region.zones)))
                 zones.append(
-                    [self._place(f"{zone}-{n}", Role.FOLLOWER, region.name, zone) for n in range(count)]
+                    [
+                        self._add_placement(f"{zone}-{n}", Role.FOLLOWER, region.name, zone)
+                        for n in range(count)
+                    ]
                 )
-        for zone_places in self._add_separate_processes(zones):
-            self._add_zone(zone_places)
+        for zone_placements in self._add_separate_processes(zones):
+            self._add_zone(zone_placements)
 
-    def _add_separate_processes(self, zones: list[list[Place]]) -> list[list[Place]]:
+    def _add_separate_processes(self, zones: list[list[Placement]]) -> list[list[Placement]]:
         """Gives some followers, taken from the zones in turn, a process of their own.
 
         Returns the zones without them."""
         remaining = self.plan.separate_count
         while remaining:
-            for places in zones:
-                if remaining and len(places) > 1:
-                    place = places.pop()
-                    self.hosts.append(Host(f"alone-{place.name}", Role.FOLLOWER, (place,)))
+            for placements in zones:
+                if remaining and len(placements) > 1:
+                    placement = placements.pop()
+                    self.hosts.append(HostProcess(f"alone-{placement.name}", Role.FOLLOWER, (placement,)))
                     remaining -= 1
         return zones
 
-    def _add_zone(self, places: list[Place]) -> None:
+    def _add_zone(self, placements: list[Placement]) -> None:
         size = self.plan.hollow.per_process
-        count = -(-len(places) // size)
+        count = -(-len(placements) // size)
         for nth in range(count):
-            group = tuple(places[nth::count])
-            self.hosts.append(Host(f"hollow-{places[0].zone}-{nth}", Role.FOLLOWER, group))
+            group = tuple(placements[nth::count])
+            self.hosts.append(HostProcess(f"hollow-{placements[0].zone}-{nth}", Role.FOLLOWER, group))
 
     def _add_real(self) -> None:
         zones = [(region.name, zone) for region in self.plan.region for zone in region.zones]
         for number in range(self.plan.real.instances + self.plan.real.plain):
             role = Role.REAL if number < self.plan.real.instances else Role.PLAIN
             region, zone = zones[number % len(zones)]
-            place = self._place(f"real-{number}", role, region, zone)
-            self.hosts.append(Host(place.name, role, (place,)))
+            placement = self._add_placement(f"real-{number}", role, region, zone)
+            self.hosts.append(HostProcess(placement.name, role, (placement,)))
--- a/tests/scale/test_faults.py
+++ b/tests/scale/test_faults.py
@@ -28,7 +28,7 @@
 )
 from client_proxy.scale.plan import DayTable, RealTable, RegionTable, ScalePlan
 from client_proxy.scale.report import Report
-from client_proxy.scale.topology import Host, Place, Role
+from client_proxy.scale.topology import HostProcess, Placement, Role
 
 LONG_DAY = DayTable(kind="quiet", length_s=60.0)
 EXIT_TIMEOUT_S = 30.0
@@ -106,7 +106,7 @@
     async def classify(share: float) -> tuple[str, str]:
         scale_run = runs.Run(small_plan(LONG_DAY), tmp_path, lambda _: None)
         monkeypatch.setattr(scale_run.fleet, "core_wait_share", lambda: share)
-        return scale_run.classify_lag("a-0: it is overloaded")
+        return scale_run.classify_unresponsive("a-0: it is overloaded")
 
     assert asyncio.run(classify(0.1)) == ("failed", "a-0: it is overloaded")
     outcome, why = asyncio.run(classify(0.5))
@@ -133,8 +133,8 @@
     assert not running_processes(fleet)
 
 
-def follower_host() -> Host:
-    return Host("h", Role.FOLLOWER, (Place("a-0", 1, Role.FOLLOWER, "r", "a", "127.0.0.1"),))
+def follower_host() -> HostProcess:
+    return HostProcess("h", Role.FOLLOWER, (Placement("a-0", 1, Role.FOLLOWER, "r", "a", "127.0.0.1"),))
 
 
 def timer_report(worst_s: float, mean_s: float = 0.0, ticks: int = 20) -> dict[str, float]:
@@ -165,8 +165,10 @@
     with socket.socket(socket.AF_INET, kind) as other_socket:
 
         def take(fleet: Fleet) -> None:
-            place = next(place for place in fleet.layout.places if place.name == "north-b-1")
-            address, _, port = place.agreement.rpartition(":")
+            placement = next(
+                placement for placement in fleet.layout.placements if placement.name == "north-b-1"
+            )
+            address, _, port = placement.agreement_address.rpartition(":")
             other_socket.bind((address, int(port)))
             if kind is socket.SOCK_STREAM:
                 other_socket.listen()
@@ -246,7 +248,7 @@
     assert row.outcome == "decided"
     assert row.by == "control-0"
     assert not row.by_away
-    inside = [place.name for place in fleet.layout.places if place.region == "south"]
+    inside = [placement.name for placement in fleet.layout.placements if placement.region == "south"]
     # Every instance adopted it after the cut; one that the change had reached earlier would not count.
     healed = day.find(measure.HEALED)
     assert healed is not None
--- a/tests/scale/test_measure.py
+++ b/tests/scale/test_measure.py
@@ -11,7 +11,7 @@
 from client_proxy.scale.measure import Absence
 from client_proxy.scale.plan import load
 from client_proxy.scale.report import CONTROL_ALONE, summarize
-from client_proxy.scale.topology import Host, Layout, Place, Role
+from client_proxy.scale.topology import HostProcess, Layout, Placement, Role
 
 SWITCHES = {"a": [(1.0, 1), (5.2, 2)], "b": [(1.0, 1), (6.0, 3)], "c": [(1.0, 1), (5.1, 2), (5.9, 3)]}
 
@@ -39,8 +39,8 @@
 
 
 def test_the_cost_of_a_process_is_divided_by_its_instances() -> None:
-    places = tuple(Place(f"a-{n}", n, Role.FOLLOWER, "r", "a", f"127.0.0.{n}") for n in (1, 2))
-    host = Host("hollow-a-0", Role.FOLLOWER, places)
+    placements = tuple(Placement(f"a-{n}", n, Role.FOLLOWER, "r", "a", f"127.0.0.{n}") for n in (1, 2))
+    host = HostProcess("hollow-a-0", Role.FOLLOWER, placements)
     before = Sample(1.0, 0, 0.0, {"sent": 10, "bytes_sent": 1024})
     after = Sample(1.4, 4096, 0.5, {"sent": 50, "bytes_sent": 1024 * 21, "stream_bytes_received": 2048})
     per_instance = measure.cost(host, before, after, 10.0)
--- a/tests/scale/test_plan.py
+++ b/tests/scale/test_plan.py
@@ -89,18 +89,22 @@
 
 def test_addresses_and_member_numbers_are_unique_and_each_process_holds_one_zone() -> None:
     layout = Layout(plans.load(ROOT / "examples/scale/two-years.toml"))
-    places = layout.places
-    assert len({place.host for place in places}) == len({place.member for place in places}) == len(places)
-    assert sum(place.role is Role.FOLLOWER for place in places) == 680
+    placements = layout.placements
+    assert (
+        len({placement.host for placement in placements})
+        == len({placement.member for placement in placements})
+        == len(placements)
+    )
+    assert sum(placement.role is Role.FOLLOWER for placement in placements) == 680
     for host in layout.hosts:
-        assert len({place.zone for place in host.places}) == 1
+        assert len({placement.zone for placement in host.placements}) == 1
 
 
 def test_instances_that_days_kill_or_stop_have_a_process_of_their_own() -> None:
     layout = Layout(plans.load(ROOT / "examples/scale/crowded-troubled.toml"))
     alone = [host for host in layout.hosts_of(Role.FOLLOWER) if host.name.startswith("alone-")]
-    assert [len(host.places) for host in alone] == [1, 1, 1]
-    assert sum(len(host.places) for host in layout.hosts_of(Role.FOLLOWER)) == 680
+    assert [len(host.placements) for host in alone] == [1, 1, 1]
+    assert sum(len(host.placements) for host in layout.hosts_of(Role.FOLLOWER)) == 680
 
 
 def test_two_runs_at_the_same_time_have_different_addresses() -> None:
