--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""What each part of a fleet costs at the sizes that operators plan for."""
+"""Measures what each part of a fleet costs at the sizes that operators plan for."""
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,10 +1,10 @@
-"""The costs of the balancer over its sizes, measured and fitted.
+"""Measures the costs of the balancer at several sizes, and fits them.
 
     python -m benchmarks.scale [--costs NAMES] [--rounds 3] [--json F] [--page F] [--checkout DIR]
 
-Sizes take turns within each round. Every reading is printed as a line of JSON; `--json` gets the series with
-their fits, `--page` a page with plots (extra `plots`). Processor time is that of the processes measured, not
-the wall's. `--checkout`: whose code the daemon of the data path's costs runs."""
+Each round measures every size once. Every reading is printed as a line of JSON. `--json` writes the series
+with their fits, `--page` a page with plots (needs the extra `plots`). Processor time is that of the measured
+processes, not wall-clock time. `--checkout` is the source tree whose daemon the data path costs run."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from benchmarks.scale.data_path import ROOT
 
 
-def _arguments(words: list[str]) -> argparse.Namespace:
+def _parse_arguments(words: list[str]) -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="python -m benchmarks.scale")
     parser.add_argument("--costs", nargs="+", choices=sorted(catalogue.COSTS), metavar="NAME")
     parser.add_argument("--rounds", type=int, default=3)
@@ -33,25 +33,26 @@
 
 
 def machine() -> dict[str, Any]:
+    """Describes the machine for the JSON document."""
     return {"cores": os.cpu_count(), "python": platform.python_version()}
 
 
 def main(words: list[str] | None = None) -> int:
-    given = sys.argv[1:] if words is None else words
-    args = _arguments(given)
+    command_line = sys.argv[1:] if words is None else words
+    args = _parse_arguments(command_line)
     names = args.costs or list(catalogue.COSTS)
     costs = catalogue.COSTS | {cost.name: cost for cost in data_path_cost.costs(args.checkout.resolve())}
-    every: list[Series] = []
+    series: list[Series] = []
     for name in names:
         begin_s = time.monotonic()
-        every += run_rounds(costs[name], args.rounds, lambda line: print(line, flush=True))
-        took = {"cost": name, "took_s": round(time.monotonic() - begin_s, 1)}
-        print(json.dumps(took), flush=True)
+        series += run_rounds(costs[name], args.rounds, lambda line: print(line, flush=True))
+        duration = {"cost": name, "took_s": round(time.monotonic() - begin_s, 1)}
+        print(json.dumps(duration), flush=True)
     command = f"python -m benchmarks.scale --costs {' '.join(names)} --rounds {args.rounds}"
     if args.json is not None:
-        args.json.write_text(json.dumps(report.document(every, command, machine()), indent=1) + "\n")
+        args.json.write_text(json.dumps(report.document(series, command, machine()), indent=1) + "\n")
     if args.page is not None:
-        args.page.write_text(report.page(every, command))
+        args.page.write_text(report.page(series, command))
     return 0
 
 
--- a/benchmarks/scale/authors.py
+++ b/benchmarks/scale/authors.py
@@ -1,73 +1,73 @@
-"""Several authors who propose at once: what becomes of their changes, and when the last has been decided.
+"""Several authors who propose at once: the results of their changes, and the time until the last is decided.
 
-On the virtual clock. Each author is at a control machine of its own; a change that loses to another is made
-again from the newest version, as `policy propose --after` asks people to."""
+Runs on the virtual clock. Each author uses a control machine of its own. A change that loses to another one
+is made again from the newest version, as `policy propose --after` demands."""
 
 from __future__ import annotations
 
 from benchmarks.scale.cost import Cost, Quantity, Readings
-from benchmarks.scale.town import CountedTown, town
+from benchmarks.scale.town import CountedCluster, make_cluster
 
 AUTHORS = (1, 2, 3, 4, 5)
 SIZE = 680
 LEASE_MS = 3000.0
-CHANGES_EACH = 4
-STEP_MS = 10.0  # between two looks of an author at what became of its change
-REMADE_MS = 200.0  # a file made anew from the newest version; a person takes longer
-MOST_S = 120.0
+CHANGES_EACH = 4  # changes per author
+STEP_MS = 10.0  # time between two checks of an author for the result of its change
+EDIT_MS = 200.0  # time to edit the newest version after a lost proposal; a person takes longer
+MAX_S = 120.0  # limit of the whole measurement
 
 
 class Author:
-    """Makes its changes one after the other, each until it is decided."""
+    """Makes its changes one after the other, trying each until it is decided."""
 
-    def __init__(self, played: CountedTown, node: int) -> None:
-        self._town, self._node = played, node
-        self.left = CHANGES_EACH
+    def __init__(self, cluster: CountedCluster, node: int) -> None:
+        self._cluster, self._node = cluster, node
+        self.remaining = CHANGES_EACH
         self.tries = self.lost = 0
         self._name = ""
-        self._resume_ms = played.now_ms
+        self._resume_ms = cluster.now_ms
 
     def step(self) -> None:
-        if not self.left or self._town.now_ms < self._resume_ms:
+        if not self.remaining or self._cluster.now_ms < self._resume_ms:
             return
-        ended = self._town.outcome(self._name) if self._name else None
-        if self._name and ended is None:
+        result = self._cluster.outcome(self._name) if self._name else None
+        if self._name and result is None:
             return
-        if ended is not None:
-            self._ended(ended.outcome)
-        elif self._town.nodes[self._node].attempt is None:
+        if result is not None:
+            self._handle_result(result.outcome)
+        elif self._cluster.nodes[self._node].attempt is None:
             self._propose()
 
     def _propose(self) -> None:
         self.tries += 1
         self._name = f"author {self._node}, try {self.tries}"
-        self._town.propose(self._node, self._name)
+        self._cluster.propose(self._node, self._name)
 
-    def _ended(self, what: str) -> None:
+    def _handle_result(self, outcome: str) -> None:
         self._name = ""
-        if what == "decided":
-            self.left -= 1
+        if outcome == "decided":
+            self.remaining -= 1
         else:
             self.lost += 1
-            self._resume_ms = self._town.now_ms + REMADE_MS
+            self._resume_ms = self._cluster.now_ms + EDIT_MS
 
 
 def measure(authors: int, size: int = SIZE) -> Readings:
-    played = town(size, LEASE_MS)
-    played.run(2 * LEASE_MS)
-    begin_ms = played.now_ms
-    each = [Author(played, node) for node in range(authors)]
-    while any(author.left for author in each) and played.now_ms < begin_ms + 1000.0 * MOST_S:
-        for author in each:
+    cluster = make_cluster(size, LEASE_MS)
+    cluster.run(2 * LEASE_MS)
+    begin_ms = cluster.now_ms
+    author_list = [Author(cluster, node) for node in range(authors)]
+    while any(author.remaining for author in author_list) and cluster.now_ms < begin_ms + 1000.0 * MAX_S:
+        for author in author_list:
             author.step()
-        played.run(played.now_ms + STEP_MS)
-    wanted = authors * CHANGES_EACH
-    tries = sum(author.tries for author in each)
+        cluster.run(cluster.now_ms + STEP_MS)
+    change_count = authors * CHANGES_EACH
+    tries = sum(author.tries for author in author_list)
     return {
-        "decided": float(wanted - sum(author.left for author in each)),
-        "tries": tries / wanted,
-        "lost": float(sum(author.lost for author in each)),
-        "seconds": (played.now_ms - begin_ms) / 1000.0 / wanted,
+        "decided": float(change_count - sum(author.remaining for author in author_list)),
+        "tries": tries / change_count,
+        "lost": float(sum(author.lost for author in author_list)),
+        "seconds": (cluster.now_ms - begin_ms) / 1000.0 / change_count,
     }
 
 
--- a/benchmarks/scale/burst.py
+++ b/benchmarks/scale/burst.py
@@ -1,8 +1,9 @@
-"""Datagrams that a control machine's port keeps while its event loop is busy, over how many come at once.
+"""Datagrams that a port keeps while its event loop is busy, by the number that arrive at once.
 
-A real port of the agreement (`UdpPort`) on the loopback; the loop is held up while one datagram a sender
-arrives, each as long as a request for a lease, and reads what the system kept. Such a moment is the reading
-of a new version's file, after which everybody asks for a lease on it."""
+Uses a real port of the agreement (`UdpPort`) on the loopback interface. The event loop is blocked while one
+datagram per sender arrives, each as long as a lease request; then it reads what the system has buffered. In
+production this happens while an instance reads the file of a new version, after which every instance requests
+a lease on it."""
 
 from __future__ import annotations
 
@@ -14,9 +15,9 @@
 from client_proxy.membership.link import UdpPort
 
 SENDERS = (34, 68, 136, 340, 680)
-BYTES = 140  # of a request for a lease in its frame
+BYTES = 140  # length of a lease request in its frame
 HOST = "127.0.0.1"
-READ_S = 0.2
+READ_S = 0.2  # time for the event loop to read the buffered datagrams
 
 
 async def _measure(senders: int) -> Readings:
--- a/benchmarks/scale/catalogue.py
+++ b/benchmarks/scale/catalogue.py
@@ -1,4 +1,4 @@
-"""Every cost that is measured, by its name."""
+"""All costs that can be measured, by name."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 from benchmarks.scale.cost import Cost
 
-EVERY = (
+ALL_COSTS = (
     decision.COST,
     lists.COST,
     signatures.COST,
@@ -44,4 +44,4 @@
     gossip_table.COST,
     *data_path_cost.costs(),
 )
-COSTS: dict[str, Cost] = {cost.name: cost for cost in EVERY}
+COSTS: dict[str, Cost] = {cost.name: cost for cost in ALL_COSTS}
--- a/benchmarks/scale/control_machine.py
+++ b/benchmarks/scale/control_machine.py
@@ -1,9 +1,9 @@
-"""A control machine's processor time, memory and traffic over the instances that ask it for leases.
+"""A control machine's processor time, memory and traffic by the number of instances that request leases.
 
-The control machine is a real `client-proxy serve` with a vote, as a process of its own. The instances are one
-socket that sends their sealed requests for a lease (`Ask`) at the rate of so many instances, a quarter of
-the lease apart each, under as many member numbers. Left out: the other control machines, which are named in
-the file and not there (so this one grants to others and has no lease itself), and changes."""
+The control machine is a real `client-proxy serve` with a vote, in a process of its own. One socket stands for
+the instances: it sends their signed lease requests (`LeaseRequest`) under as many member numbers, at the rate
+of that many instances, each of which sends one per quarter of the lease. There are no changes. The other
+control machines are named in the file but don't run, so this one grants leases and holds none itself."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 INSTANCES = (34, 68, 136, 340, 680)
 CONTROL_MACHINES = 5
 LEASE_MS = 3000.0
-ASKS_A_LEASE = 4  # `ConsensusPolicySource` asks again after a quarter of the lease
+REQUESTS_PER_LEASE = 4  # `ConsensusPolicySource` sends a request after each quarter of the lease
 LENGTH_S = 4.0
-SETTLE_S = 1.0
+SETTLE_S = 1.0  # load before the measurement begins
 HOST = "127.0.0.1"
 GROUP = 1
 GROUP_SECRET = bytes(range(32))
-FIRST_MEMBER = 1000  # of the instances that ask
-IP_UDP_BYTES = 28
+FIRST_MEMBER = 1000  # member number of the first simulated instance
+IP_UDP_BYTES = 28  # headers of one datagram
 SERVERS = 10
 RECEIVE_BUFFER = 4 * 1024 * 1024
 
@@ -47,7 +47,7 @@
 
 
 def write_files(folder: Path, lease_ms: float, port: int) -> Path:
-    """Of member 1, which has a vote. Returns the path of its configuration."""
+    """Writes the files of member 1, which has a vote, and returns the path of its settings file."""
     authority = Ed25519(_secret("authority"))
     secret = _secret("member 1")
     card = issue_certificate(authority, 1, 1, "", 1, Ed25519(secret).public_key)
@@ -66,7 +66,7 @@
     ]
     for member in range(1, CONTROL_MACHINES + 1):
         public = base64.b64encode(Ed25519(_secret(f"member {member}")).public_key).decode()
-        # The ports of the others are those of nobody.
+        # Nothing listens at the addresses of the other control machines.
         address = f"{HOST}:{port}" if member == 1 else f"127.0.0.{1 + member}:9"
         lines += [
             "[[agreement.seat]]",
@@ -82,14 +82,14 @@
     return config
 
 
-def first(folder: Path) -> Version:
+def read_first_version(folder: Path) -> Version:
     table = load_instance_file(folder / "control.toml").file.agreement
     assert table is not None
     return first_version(table, (folder / table.first).read_bytes()).version
 
 
-class Asker(asyncio.DatagramProtocol):
-    """So many instances' requests for leases, from one socket."""
+class LeaseRequester(asyncio.DatagramProtocol):
+    """Sends the lease requests of many instances from one socket and counts the grants."""
 
     def __init__(self, instances: int, version: Version) -> None:
         self._instances, self._version = instances, version
@@ -102,32 +102,32 @@
         self.granted += 1
         self.bytes += len(data) + IP_UDP_BYTES
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         member = FIRST_MEMBER + self.sent % self._instances
-        ask = LeaseRequest(self._version.number, random.getrandbits(60), self._version.digest)
-        body = struct.pack(">I", member) + bytes(SIGNATURE_BYTES) + encode(ask)
+        request = LeaseRequest(self._version.number, random.getrandbits(60), self._version.digest)
+        body = struct.pack(">I", member) + bytes(SIGNATURE_BYTES) + encode(request)
         datagram = body + blake2b(body, key=GROUP_SECRET, digest_size=MAC_BYTES).digest()
         self.sent += 1
         self.bytes += len(datagram) + IP_UDP_BYTES
         self._transport.sendto(datagram)
 
 
-async def _offer(asker: Asker, per_s: float, length_s: float) -> None:
-    """Evenly, at so many a second."""
+async def _offer(requester: LeaseRequester, per_s: float, length_s: float) -> None:
+    """Sends `per_s` requests a second, evenly spaced, for `length_s`."""
     loop = asyncio.get_running_loop()
-    begin_s, before = loop.time(), asker.sent
+    begin_s, before = loop.time(), requester.sent
     while (now_s := loop.time() - begin_s) < length_s:
-        while asker.sent - before < now_s * per_s:
-            asker.ask()
+        while requester.sent - before < now_s * per_s:
+            requester.send_request()
         await asyncio.sleep(0.001)
-    await asyncio.sleep(0.1)  # the last answers
+    await asyncio.sleep(0.1)  # time for the last responses
 
 
 async def _measure(instances: int, lease_ms: float, length_s: float) -> Readings:
-    per_s = 1000.0 * instances * ASKS_A_LEASE / lease_ms
+    per_s = 1000.0 * instances * REQUESTS_PER_LEASE / lease_ms
     port = free_port(HOST)
-    with tempfile.TemporaryDirectory(prefix="control-") as made:
-        folder = Path(made)
+    with tempfile.TemporaryDirectory(prefix="control-") as folder_name:
+        folder = Path(folder_name)
         config = write_files(folder, lease_ms, port)
         async with children() as started:
             child = await serve("control", folder, config.read_text())
@@ -136,19 +136,19 @@
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
             sock.connect((HOST, port))
-            transport, asker = await asyncio.get_running_loop().create_datagram_endpoint(
-                lambda: Asker(instances, first(folder)), sock=sock
+            transport, requester = await asyncio.get_running_loop().create_datagram_endpoint(
+                lambda: LeaseRequester(instances, read_first_version(folder)), sock=sock
             )
             try:
-                await _offer(asker, per_s, SETTLE_S)
-                sent, granted, told = asker.sent, asker.granted, asker.bytes
+                await _offer(requester, per_s, SETTLE_S)
+                sent, granted, byte_count = requester.sent, requester.granted, requester.bytes
                 before_s = cpu_s(child.pid)
-                await _offer(asker, per_s, length_s)
+                await _offer(requester, per_s, length_s)
                 spent_s = cpu_s(child.pid) - before_s
                 return {
                     "cpu": spent_s / length_s,
-                    "bytes": (asker.bytes - told) / length_s,
-                    "unanswered": 1.0 - (asker.granted - granted) / max(1, asker.sent - sent),
+                    "bytes": (requester.bytes - byte_count) / length_s,
+                    "unanswered": 1.0 - (requester.granted - granted) / max(1, requester.sent - sent),
                     "memory": proportional_kb(child.pid) / 1024.0,
                 }
             finally:
--- a/benchmarks/scale/cost.py
+++ b/benchmarks/scale/cost.py
@@ -1,4 +1,4 @@
-"""A cost that is measured at several sizes, and what a measurement of it gives."""
+"""Types for a cost that is measured at several sizes, and the rounds of its measurement."""
 
 from __future__ import annotations
 
@@ -8,25 +8,27 @@
 from typing import Literal
 
 Basis = Literal["processor time", "real processes", "virtual clock", "counted"]
-"""How the figures come about. `counted`: the same in each run, as nothing is timed. `virtual clock`: the
-protocol's own code on a simulated network, which shows messages and not processor time."""
+"""How values are obtained.
+
+`counted`: nothing is timed, so each run gives the same values. `virtual clock`: the protocol's own code on a
+simulated network, which shows messages but not processor time."""
 
 REPEATABLE: frozenset[Basis] = frozenset({"virtual clock", "counted"})
-"""One round shows all: another would give the same figures."""
+"""Bases with the same values in each round, which need one round only."""
 
 Readings = Mapping[str, float]
-"""By the quantity's name, one measurement at one size."""
+"""Values of one measurement at one size, by the name of the quantity."""
 
-MIN_SIZES = 5
+MIN_SIZES = 5  # sizes that a fit needs
 
 
 class MachineBusy(RuntimeError):
-    """The machine was too busy for a measurement's own timers: it shows nothing."""
+    """The measurement's own timers were late because the machine was too busy, so its values don't count."""
 
 
 @dataclass(frozen=True, slots=True)
 class Quantity:
-    """What one measurement gives a figure for, and the figure's unit."""
+    """Something that a measurement gives a value for, and its unit."""
 
     name: str
     unit: str
@@ -34,7 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """`measure` takes one of `sizes`, in the unit of `axis`, and returns a reading for each quantity."""
+    """A cost by size.
+
+    `measure` takes one of `sizes`, in the unit of `axis`, and returns a value for each of `quantities`."""
 
     name: str
     axis: str
@@ -45,12 +49,12 @@
 
     def __post_init__(self) -> None:
         if len(self.sizes) < MIN_SIZES:
-            raise ValueError(f"{self.name}: {len(self.sizes)} sizes; a fit needs {MIN_SIZES} at least")
+            raise ValueError(f"{self.name}: {len(self.sizes)} sizes; a fit needs at least {MIN_SIZES}")
 
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """The readings of one quantity: by size, one for each round."""
+    """The readings of one quantity; `readings` has a value per round for each size."""
 
     name: str
     unit: str
@@ -59,26 +63,30 @@
     readings: Mapping[int, tuple[float, ...]]
 
 
-Told = Callable[[str], None]
+PrintLine = Callable[[str], None]
+
 
+def run_rounds(cost: Cost, rounds: int, print_line: PrintLine) -> list[Series]:
+    """Measures a cost at all sizes and returns a series for each quantity.
 
-def run_rounds(cost: Cost, rounds: int, tell: Told) -> list[Series]:
-    """Each size once in every round, so that a change of the machine's speed meets all sizes alike. What
-    gives the same figures each time takes one round. Refused measurements are told and left out; a size
-    without any other has no readings."""
+    Each round measures every size once, so that a change of the machine's speed affects all sizes alike.
+    Bases in `REPEATABLE` take one round. Refused measurements are printed and left out; a size with no other
+    measurement is not in the series."""
     readings: dict[str, dict[int, list[float]]] = {
         quantity.name: {size: [] for size in cost.sizes} for quantity in cost.quantities
     }
     for number in range(1 if cost.basis in REPEATABLE else rounds):
         for size in cost.sizes:
             try:
-                found = cost.measure(size)
+                values_by_name = cost.measure(size)
             except MachineBusy as busy:
-                tell(json.dumps({"cost": cost.name, "round": number, "size": size, "refused": str(busy)}))
+                print_line(
+                    json.dumps({"cost": cost.name, "round": number, "size": size, "refused": str(busy)})
+                )
                 continue
-            tell(json.dumps({"cost": cost.name, "round": number, "size": size, **found}))
+            print_line(json.dumps({"cost": cost.name, "round": number, "size": size, **values_by_name}))
             for quantity in cost.quantities:
-                readings[quantity.name][size].append(float(found[quantity.name]))
+                readings[quantity.name][size].append(float(values_by_name[quantity.name]))
     return [
         Series(
             name=f"{cost.name}.{quantity.name}",
--- a/benchmarks/scale/data_path.py
+++ b/benchmarks/scale/data_path.py
@@ -1,20 +1,20 @@
-"""What one real daemon adds to a call, over the number of servers in its list.
+"""The time that one real daemon adds to a call, by the number of servers in its list.
 
     python -m benchmarks.scale.data_path [--names 10 34 100 200 300 400 680] [--rate 294] [--length 5]
         [--rounds 3] [--own-ports] [--instances 1] [--daemons 1] [--operators FILE] [--checkouts DIR ...]
         [--samples FILE]
 
-`client-proxy serve` with a watched list runs as a process of its own. Calls come open loop: each has a due
-time, and its latency counts from then, so that a daemon that stands still is charged for every call that was
-due meanwhile (coordinated omission). Each call has a twin that goes directly to a server half a slot later;
+`client-proxy serve` with a watched list runs in a process of its own. Calls are open loop: each has a due
+time from which its latency counts, so that a daemon that stands still is charged for every call that was due
+meanwhile (coordinated omission). For each call a second one goes directly to a server half an interval later;
 "added" is the difference of the two distributions at the same quantile. Ten server addresses that answer at
 once are listed under N names, or each name has a port of its own.
 
-A file of servers takes each address once and compares it as text: a further name for the same address has
-the port written with one more leading zero. To the daemon each name is a server of its own.
+A server file may contain each address only once, compared as text. Further names for the same address
+therefore write its port with more leading zeros. The daemon treats each name as a server of its own.
 
-Sizes (and checkouts) take turns within every round. Prints JSON, and a row on standard error as it is known.
-"""
+Each round measures every size (and checkout) once. Prints JSON on standard output, and each sample as a line
+on standard error when it is measured."""
 
 from __future__ import annotations
 
@@ -44,21 +44,21 @@
 ROOT = Path(__file__).resolve().parents[2]
 HOST = "127.0.0.1"
 CLASS = "look-up"
-ADDRESSES = 10
+ADDRESSES = 10  # server addresses that share the names
 NAMES = (10, 34, 100, 200, 300, 400, 680)
 AIM_MS, DEADLINE_MS = 500, 1200
-ANSWER_WITHIN_S = 2.0  # past the deadline of the class: an answer that is missing then was lost
-START_WITHIN_S = 20.0
-LISTED_S = 0.3  # after it listens, until a daemon has surely read its list
-LOST = 0  # in place of a status: no answer came
+ANSWER_WITHIN_S = 2.0  # longer than the deadline of the class; without an answer by then a call is lost
+START_WITHIN_S = 20.0  # time for a daemon to listen
+LISTED_S = 0.3  # time after a daemon listens until it has read its server list
+LOST = 0  # stands for the status of a call without an answer
 ESTABLISHED = "01"  # state of /proc/net/tcp
-MOST_LATE_MS = 25.0  # of the load's own calls, 99 in 100: past it the machine is too busy for the trial
-PROCESS_CLOCK = 2  # CPUCLOCK_SCHED of the kernel's posix-timers.h
+MAX_LATE_MS = 25.0  # limit for the 99th percentile of the load's own lateness, above which a trial is refused
+PROCESS_CLOCK = 2  # CPUCLOCK_SCHED in the kernel's posix-timers.h
 
 
 @dataclass(frozen=True, slots=True)
 class Quantiles:
-    """Of latencies, in milliseconds."""
+    """Quantiles of latencies, in milliseconds."""
 
     p50: float
     p99: float
@@ -67,25 +67,25 @@
 
 @dataclass(frozen=True, slots=True)
 class DataPathSample:
-    """One trial. Times are in milliseconds and count from when a call was due."""
+    """Result of one trial. Latencies are in milliseconds and count from the due time of a call."""
 
     names: int
     own_ports: bool
     instances: int
     daemons: int
-    calls_per_s: float  # of each daemon
+    calls_per_s: float  # offered to each daemon
     length_s: float
-    calls: int  # of all daemons, as all that follows but for the memory
-    answers: dict[str, int]  # by status; "0": no answer came
+    calls: int  # counted calls of all daemons; the fields below cover all daemons, except the memory
+    answers: dict[str, int]  # number by status; "0": no answer
     daemon_ms: Quantiles
     direct_ms: Quantiles
-    added_ms: Quantiles  # the difference of the two, quantile by quantile
-    cpu_ms_per_call: float  # of the daemons, by the processes' own clocks
-    resident_kb: int  # of the daemon that holds the most
-    dials: int  # connections that the daemons made to servers
-    connections_open: int  # of these, at the end
-    waited_ms_per_call: float  # the daemon was ready to run and had no core
-    late_ms: Quantiles  # how late the load itself was: a machine too busy for the trial shows here
+    added_ms: Quantiles  # difference of `daemon_ms` and `direct_ms`, quantile by quantile
+    cpu_ms_per_call: float  # processor time of the daemons, by the processes' CPU clocks
+    resident_kb: int  # resident memory of the largest daemon
+    dials: int  # connections that the daemons opened to servers
+    connections_open: int  # of these connections, those open at the end
+    waited_ms_per_call: float  # time in which a daemon was ready to run and had no core
+    late_ms: Quantiles  # lateness of the load itself, which shows whether the machine was too busy
 
     @property
     def lost_share(self) -> float:
@@ -94,12 +94,12 @@
 
     @property
     def refused(self) -> bool:
-        """The machine was too busy for its own timers: the trial shows nothing."""
-        return self.late_ms.p99 > MOST_LATE_MS
+        """Whether the load's own timers were too late, so that the trial doesn't count."""
+        return self.late_ms.p99 > MAX_LATE_MS
 
 
 def quantiles(values: Sequence[float]) -> Quantiles:
-    """Of values in milliseconds; zeros if there are none."""
+    """Returns quantiles of values in milliseconds; zeros without values."""
     if not values:
         return Quantiles(0.0, 0.0, 0.0)
     ranked = sorted(values)
@@ -112,15 +112,15 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Processor seconds of a process by its own CPU clock (clock_getcpuclockid(3)), all threads."""
+    """Returns the processor time of all threads of a process, by its CPU clock (clock_getcpuclockid(3))."""
     return time.clock_gettime((~pid << 3) | PROCESS_CLOCK)
 
 
-# The servers, a process of their own
+# The servers, in a process of their own
 
 
 class InstantServer(asyncio.Protocol):
-    """Answers each request at once. Requests come one at a time, with a body of four bytes."""
+    """Answers each request at once. Requests arrive one at a time, with a body of four bytes."""
 
     ANSWER = (
         b"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=1, queue=0, latency_ms=1.5\r\n"
@@ -141,22 +141,23 @@
 
 
 async def serve_instantly(count: int) -> None:
-    """Listen at `count` ports, tell them in one line, then tell the number of accepted connections for each
-    line read; end with the standard input."""
+    """Listens at `count` ports and prints them in one line.
+
+    Then prints the number of accepted connections for each line that it reads, until standard input ends."""
     loop = asyncio.get_running_loop()
     ports = []
     for _ in range(count):
         server = await loop.create_server(InstantServer, HOST, 0, backlog=1024)
         ports.append(server.sockets[0].getsockname()[1])
     print(json.dumps(ports), flush=True)
-    questions = asyncio.StreamReader()
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(questions), sys.stdin)
-    while await questions.readline():
+    commands = asyncio.StreamReader()
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
+    while await commands.readline():
         print(InstantServer.accepted, flush=True)
 
 
 class Servers:
-    """The process of servers."""
+    """Starts and ends the process of servers."""
 
     def __init__(self, count: int) -> None:
         self._process = subprocess.Popen(
@@ -169,10 +170,11 @@
         assert self._process.stdout is not None
         line = self._process.stdout.readline()
         if not line:
-            raise RuntimeError("the servers did not start")
+            raise RuntimeError("the process of servers did not start")
         self.ports: list[int] = json.loads(line)
 
     def accepted(self) -> int:
+        """Returns the number of connections that the servers have accepted so far."""
         assert self._process.stdin is not None
         assert self._process.stdout is not None
         self._process.stdin.write("\n")
@@ -191,8 +193,8 @@
 # The daemon
 
 
-def list_of_servers(names: int, ports: Sequence[int]) -> str:
-    """The watched file: names are dealt out over the ports in turn."""
+def format_server_list(names: int, ports: Sequence[int]) -> str:
+    """Returns the text of the watched file. The names are assigned to the ports in turn."""
     entries = []
     for number in range(names):
         zeros = "0" * (number // len(ports))
@@ -201,13 +203,13 @@
     return "\n".join(entries)
 
 
-def serve_file(instances: int, ordinal: int, sockets_most: int, operators: bool) -> str:
+def format_settings_file(instances: int, ordinal: int, max_sockets: int, operators: bool) -> str:
     lines = [
         'name = "bench"',
         f'listen = "{HOST}:0"',
         f"instances = {instances}",
         f"ordinal = {ordinal}",
-        f"sockets = {sockets_most}",
+        f"sockets = {max_sockets}",
         *(['operators = "operators.toml"'] if operators else []),
         "[servers]",
         'file = "servers.toml"',
@@ -223,7 +225,7 @@
 
 
 class Daemon:
-    """One `client-proxy serve`, run from a checkout."""
+    """A `client-proxy serve` process, run from a checkout."""
 
     def __init__(self, folder: Path, number: int, checkout: Path, runner: Sequence[str]) -> None:
         self._log = folder / f"daemon-{number}.log"
@@ -243,21 +245,22 @@
                 stderr=log,
             )
         self.pid = self._process.pid
-        self.port = self._listening()
+        self.port = self._wait_for_port()
 
-    def _listening(self) -> int:
+    def _wait_for_port(self) -> int:
         until_s = time.monotonic() + START_WITHIN_S
         while time.monotonic() < until_s and self._process.poll() is None:
-            found = sockets(self.pid, LISTEN)
-            if found:
-                return found[0][1]
+            listening = sockets(self.pid, LISTEN)
+            if listening:
+                return listening[0][1]
             time.sleep(0.02)
         self.end()
         raise RuntimeError(f"the daemon did not start: {self._log.read_text(errors='replace')[-500:]}")
 
     def connections_to(self, ports: Sequence[int]) -> int:
-        known = set(ports)
-        return sum(remote in known for _, _, _, remote in sockets(self.pid, ESTABLISHED))
+        """Returns the number of established connections of the daemon to these ports."""
+        known_ports = set(ports)
+        return sum(remote in known_ports for _, _, _, remote in sockets(self.pid, ESTABLISHED))
 
     def end(self) -> None:
         if self._process.poll() is None:
@@ -273,11 +276,11 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """To the daemon or to a server: one call at a time."""
+    """A connection to the daemon or to a server, for one call at a time."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self._answer: asyncio.Future[int] | None = None
+        self._response: asyncio.Future[int] | None = None
         self.lost = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -288,19 +291,19 @@
 
     def on_message_complete(self) -> None:
         self.lost = self.lost or not self._parser.should_keep_alive()
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_result(self._parser.get_status_code())
+        if self._response is not None and not self._response.done():
+            self._response.set_result(self._parser.get_status_code())
 
     def connection_lost(self, error: Exception | None) -> None:
         self.lost = True
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_result(LOST)
+        if self._response is not None and not self._response.done():
+            self._response.set_result(LOST)
 
     def call(self, request: bytes) -> asyncio.Future[int]:
-        """The status of the answer; `LOST` if the connection ends first."""
-        self._answer = asyncio.get_running_loop().create_future()
+        """Sends a request. The future gets the response's status, or `LOST` if the connection ends first."""
+        self._response = asyncio.get_running_loop().create_future()
         self._transport.write(request)
-        return self._answer
+        return self._response
 
     def close(self) -> None:
         self.lost = True
@@ -308,8 +311,8 @@
 
 
 @dataclass(slots=True)
-class Way:
-    """Where calls go, and what became of them."""
+class CallTarget:
+    """The ports that calls go to, with their connections and results."""
 
     ports: Sequence[int]
     idle: dict[int, deque[ClientConnection]] = field(default_factory=dict)
@@ -318,23 +321,24 @@
     latencies_ms: list[float] = field(default_factory=list)
     late_ms: list[float] = field(default_factory=list)
 
-    async def connection(self, port: int) -> ClientConnection:
+    async def take_connection(self, port: int) -> ClientConnection:
+        """Returns an idle connection to the port, or opens one."""
         idle = self.idle.setdefault(port, deque())
         while idle:
-            kept = idle.pop()
-            if not kept.lost:
-                return kept
+            connection = idle.pop()
+            if not connection.lost:
+                return connection
         self.opened += 1
-        _, made = await asyncio.get_running_loop().create_connection(ClientConnection, HOST, port)
-        return made
+        _, new_connection = await asyncio.get_running_loop().create_connection(ClientConnection, HOST, port)
+        return new_connection
 
     async def call(self, number: int, due_s: float, counts: bool) -> None:
-        """One call; its latency counts from `due_s` of time.monotonic()."""
+        """Makes one call. Its latency counts from `due_s` (time.monotonic()); `counts`: record it."""
         status = LOST
         port = self.ports[number % len(self.ports)]
         with suppress(TimeoutError, OSError):
             async with asyncio.timeout(ANSWER_WITHIN_S):
-                connection = await self.connection(port)
+                connection = await self.take_connection(port)
                 try:
                     status = await connection.call(request_bytes(number))
                 finally:
@@ -360,23 +364,26 @@
     ).encode()
 
 
-async def offer(way: Way, calls_per_s: float, length_s: float, lag_s: float, counts: bool) -> None:
-    """Calls at even gaps, the first after `lag_s`; returns when each has ended."""
-    began_s = time.monotonic() + lag_s
+async def offer(target: CallTarget, calls_per_s: float, length_s: float, lag_s: float, counts: bool) -> None:
+    """Makes evenly spaced calls, the first after `lag_s`, and returns when all have ended."""
+    first_due_s = time.monotonic() + lag_s
     tasks = set()
     for number in range(round(calls_per_s * length_s)):
-        due_s = began_s + number / calls_per_s
+        due_s = first_due_s + number / calls_per_s
         await asyncio.sleep(max(0.0, due_s - time.monotonic()))
         if counts:
-            way.late_ms.append(1000.0 * (time.monotonic() - due_s))
-        task = asyncio.create_task(way.call(number, due_s, counts))
+            target.late_ms.append(1000.0 * (time.monotonic() - due_s))
+        task = asyncio.create_task(target.call(number, due_s, counts))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
     if tasks:
         await asyncio.wait(tasks)
 
 
-async def offer_both(daemon: Way, direct: Way, calls_per_s: float, length_s: float, counts: bool) -> None:
+async def offer_both(
+    daemon: CallTarget, direct: CallTarget, calls_per_s: float, length_s: float, counts: bool
+) -> None:
+    """Makes the calls to the daemon, and as many direct calls half an interval later."""
     await asyncio.gather(
         offer(daemon, calls_per_s, length_s, 0.0, counts),
         offer(direct, calls_per_s, length_s, 0.5 / calls_per_s, counts),
@@ -400,26 +407,39 @@
     checkout: Path = ROOT,
     runner: Sequence[str] = (),
 ) -> DataPathSample:
-    """One trial of a daemon, or of some at once, with processes of its own that have ended when it returns.
-
-    `names`: servers in the list. `calls_per_s`: of each daemon. `instances`: as stated in the daemons' files.
-    `warm_up_s`: seconds of the same load that are not counted. `descriptors`: `sockets` of the files.
-    `operators`: text of the operators' file. `checkout`: whose code the daemons run. `runner`: words for the
-    interpreter before `-m` (a profiler). Raises RuntimeError if a process does not start.
+    """Runs one trial with one or several daemons; all of its processes have ended when it returns.
+
+    Args:
+        names: servers in the list.
+        calls_per_s: offered to each daemon.
+        length_s: length of the measured load.
+        own_ports: whether each name has a port of its own.
+        instances: value in the daemons' settings files.
+        daemons: number of daemons that run at once.
+        warm_up_s: seconds of the same load before it counts.
+        descriptors: value of `sockets` in the settings files.
+        operators: text of the operators' file.
+        checkout: source tree whose daemon is run.
+        runner: arguments of the interpreter before `-m` (a profiler).
+
+    Raises:
+        RuntimeError: a process does not start.
     """
     servers = Servers(names if own_ports else ADDRESSES)
     running: list[Daemon] = []
     try:
-        with tempfile.TemporaryDirectory() as made:
-            folder = Path(made)
-            (folder / "servers.toml").write_text(list_of_servers(names, servers.ports))
+        with tempfile.TemporaryDirectory() as folder_name:
+            folder = Path(folder_name)
+            (folder / "servers.toml").write_text(format_server_list(names, servers.ports))
             (folder / "operators.toml").write_text(operators)
             for number in range(daemons):
-                stated = serve_file(instances, number % instances, descriptors, bool(operators))
-                (folder / f"serve-{number}.toml").write_text(stated)
+                settings_text = format_settings_file(
+                    instances, number % instances, descriptors, bool(operators)
+                )
+                (folder / f"serve-{number}.toml").write_text(settings_text)
                 running.append(Daemon(folder, number, checkout, runner))
             time.sleep(LISTED_S)
-            load = uvloop.run(_offered(servers, running, calls_per_s, length_s, warm_up_s))
+            load = uvloop.run(_offer_load(servers, running, calls_per_s, length_s, warm_up_s))
             for daemon in running:
                 daemon.end()
     finally:
@@ -427,7 +447,7 @@
             daemon.end()
         servers.end()
     calls = sum(load.through.answers.values())
-    with_daemon, without = quantiles(load.through.latencies_ms), quantiles(load.direct.latencies_ms)
+    with_daemon, direct = quantiles(load.through.latencies_ms), quantiles(load.direct.latencies_ms)
     return DataPathSample(
         names=names,
         own_ports=own_ports,
@@ -438,11 +458,11 @@
         calls=calls,
         answers={str(status): count for status, count in sorted(load.through.answers.items())},
         daemon_ms=with_daemon,
-        direct_ms=without,
+        direct_ms=direct,
         added_ms=Quantiles(
-            p50=round(with_daemon.p50 - without.p50, 3),
-            p99=round(with_daemon.p99 - without.p99, 3),
-            most=round(with_daemon.most - without.most, 3),
+            p50=round(with_daemon.p50 - direct.p50, 3),
+            p99=round(with_daemon.p99 - direct.p99, 3),
+            most=round(with_daemon.most - direct.most, 3),
         ),
         cpu_ms_per_call=round(1000.0 * load.cpu_s / max(1, calls), 4),
         resident_kb=load.resident_kb,
@@ -454,11 +474,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offered:
-    """What was seen of the load, and of the daemons under it."""
+class LoadResult:
+    """Results of the load, and resource use of the daemons under it."""
 
-    through: Way
-    direct: Way
+    through: CallTarget
+    direct: CallTarget
     cpu_s: float
     waited_s: float
     resident_kb: int
@@ -466,17 +486,17 @@
     connections_open: int
 
 
-async def _offered(
+async def _offer_load(
     servers: Servers, daemons: Sequence[Daemon], calls_per_s: float, length_s: float, warm_up_s: float
-) -> Offered:
-    through = Way([daemon.port for daemon in daemons])
-    direct = Way(servers.ports[:ADDRESSES])
-    in_all_per_s = calls_per_s * len(daemons)
-    await offer_both(through, direct, in_all_per_s, warm_up_s, False)
+) -> LoadResult:
+    through = CallTarget([daemon.port for daemon in daemons])
+    direct = CallTarget(servers.ports[:ADDRESSES])
+    total_per_s = calls_per_s * len(daemons)
+    await offer_both(through, direct, total_per_s, warm_up_s, False)
     cpu_before_s = sum(cpu_s(daemon.pid) for daemon in daemons)
     waited_before_s = sum(waited_s(daemon.pid) for daemon in daemons)
-    await offer_both(through, direct, in_all_per_s, length_s, True)
-    seen = Offered(
+    await offer_both(through, direct, total_per_s, length_s, True)
+    result = LoadResult(
         through=through,
         direct=direct,
         cpu_s=sum(cpu_s(daemon.pid) for daemon in daemons) - cpu_before_s,
@@ -487,15 +507,15 @@
     )
     through.close()
     direct.close()
-    return seen
+    return result
 
 
 def summary(samples: Sequence[DataPathSample]) -> dict[str, Any]:
-    """Least, median and most of each figure over the rounds of one size that the machine had time for."""
+    """Returns least, median and most of each value over the rounds of one size, without refused samples."""
     refused, samples = sum(each.refused for each in samples), [each for each in samples if not each.refused]
     if not samples:
         return {"refused": refused}
-    figures: dict[str, list[float]] = {
+    values_by_name: dict[str, list[float]] = {
         "lost_share": [each.lost_share for each in samples],
         "daemon_p50_ms": [each.daemon_ms.p50 for each in samples],
         "daemon_p99_ms": [each.daemon_ms.p99 for each in samples],
@@ -510,12 +530,13 @@
         "waited_ms_per_call": [each.waited_ms_per_call for each in samples],
         "late_p99_ms": [each.late_ms.p99 for each in samples],
     }
-    told: dict[str, Any] = {
-        name: [round(min(of), 4), round(median(of), 4), round(max(of), 4)] for name, of in figures.items()
+    document: dict[str, Any] = {
+        name: [round(min(values), 4), round(median(values), 4), round(max(values), 4)]
+        for name, values in values_by_name.items()
     }
-    told["refused"] = refused
-    told["answers"] = dict(sum((Counter(each.answers) for each in samples), Counter[str]()))
-    return told
+    document["refused"] = refused
+    document["answers"] = dict(sum((Counter(each.answers) for each in samples), Counter[str]()))
+    return document
 
 
 def main() -> int:
@@ -529,19 +550,19 @@
     parser.add_argument("--daemons", type=int, default=1)
     parser.add_argument("--warm-up", type=float, default=1.0)
     parser.add_argument("--descriptors", type=int, default=1024)
-    parser.add_argument("--operators", type=Path, help="the operators' file of the daemon")
+    parser.add_argument("--operators", type=Path, help="operators' file of the daemon")
     parser.add_argument("--checkouts", type=Path, nargs="*", default=[ROOT])
-    parser.add_argument("--samples", type=Path, help="write every sample there, as JSON lines")
+    parser.add_argument("--samples", type=Path, help="append every sample to this file, as JSON lines")
     parser.add_argument("--serve", type=int, help=argparse.SUPPRESS)
     args = parser.parse_args()
     if args.serve:
         uvloop.run(serve_instantly(args.serve))
         return 0
     operators = args.operators.read_text() if args.operators else ""
-    cells = [(c, n, i) for n in args.names for i in args.instances for c in args.checkouts]
-    found: dict[tuple[Path, int, int], list[DataPathSample]] = {cell: [] for cell in cells}
+    trials = [(c, n, i) for n in args.names for i in args.instances for c in args.checkouts]
+    samples_by_trial: dict[tuple[Path, int, int], list[DataPathSample]] = {trial: [] for trial in trials}
     for number in range(args.rounds):
-        for checkout, names, instances in cells:
+        for checkout, names, instances in trials:
             sample = measure(
                 names,
                 args.rate,
@@ -554,7 +575,7 @@
                 operators=operators,
                 checkout=checkout.resolve(),
             )
-            found[checkout, names, instances].append(sample)
+            samples_by_trial[checkout, names, instances].append(sample)
             row = json.dumps(
                 {
                     "round": number,
@@ -569,12 +590,18 @@
                     file.write(row + "\n")
     rows = [
         {"checkout": checkout.name, "names": names, "instances": instances, **summary(samples)}
-        for (checkout, names, instances), samples in found.items()
+        for (checkout, names, instances), samples in samples_by_trial.items()
     ]
-    told = {"cores": os.cpu_count(), "rate_per_s": args.rate, "length_s": args.length, "rounds": args.rounds}
+    settings = {
+        "cores": os.cpu_count(),
+        "rate_per_s": args.rate,
+        "length_s": args.length,
+        "rounds": args.rounds,
+    }
     print(
         json.dumps(
-            {**told, "own_ports": args.own_ports, "figures": "least, median, most", "rows": rows}, indent=1
+            {**settings, "own_ports": args.own_ports, "figures": "least, median, most", "rows": rows},
+            indent=1,
         )
     )
     return 0
--- a/benchmarks/scale/data_path_cost.py
+++ b/benchmarks/scale/data_path_cost.py
@@ -1,4 +1,4 @@
-"""What one daemon adds to a call over the servers in its list, by `data_path`, as a cost among the others."""
+"""The time that one daemon adds to a call, by the servers in its list; measured by `data_path`."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
     length_s: float = LENGTH_S,
     checkout: Path = data_path.ROOT,
 ) -> Readings:
-    """Raises MachineBusy if the load's own timers were late."""
+    """Runs one trial. Raises MachineBusy if the load's own timers were late."""
     sample = data_path.measure(servers, calls_per_s, length_s, own_ports, checkout=checkout)
     if sample.refused:
-        raise MachineBusy(f"the load was {sample.late_ms.p99:.1f} ms late at the 99th percentile")
+        raise MachineBusy(f"the load was sent {sample.late_ms.p99:.1f} ms late at the 99th percentile")
     return {
         "lost": sample.lost_share,
         "cpu": sample.cpu_ms_per_call,
@@ -46,8 +46,9 @@
 
 
 def costs(checkout: Path = data_path.ROOT) -> tuple[Cost, Cost]:
-    """`checkout`: whose code the daemon runs. Names that share ten addresses, and names with ports of their
-    own."""
+    """Returns the costs for names that share ten addresses, and for names with a port each.
+
+    `checkout` is the source tree whose daemon is run."""
     shared = Cost(
         "data_path",
         "servers in the list",
--- a/benchmarks/scale/decision.py
+++ b/benchmarks/scale/decision.py
@@ -1,4 +1,4 @@
-"""The decision module's processor time for one call, over the servers in its list. No sockets."""
+"""The decision module's processor time for one call, by the servers in its list, without sockets."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def measure(servers: int, calls: int = CALLS) -> Readings:
-    """Microseconds of one call that arrives, is sent once and is answered."""
+    """Measures the processor time in us of a call that arrives, is sent once and is answered."""
     probe = _probe(servers)
     before_s = time.process_time()
     for _ in range(calls):
--- a/benchmarks/scale/depth.py
+++ b/benchmarks/scale/depth.py
@@ -1,9 +1,9 @@
-"""A chain of services, each behind a client proxy of its own: what depth adds to a call, what is left of the
-deadline at its end, and how often a failing leaf is asked.
+"""A chain of services, each behind a client proxy of its own, by its depth.
 
-Each level is a real `client-proxy serve` with a list of three servers, which are one process
-(`chain_service`) at three addresses; it calls the next level's proxy. Calls come open loop, few and bounded
-in number, first to a chain that is well and then to one whose leaf answers every call with 500."""
+Measures the time that the depth adds to a call, the rest of the deadline at the leaf, and how many attempts
+reach a failing leaf. Each level is a real `client-proxy serve` with a list of three servers, which are one
+process (`chain_service`) at three addresses; it calls the next level's proxy. A small, fixed number of calls
+is made open loop, first to a healthy chain and then to one whose leaf answers every call with 500."""
 
 from __future__ import annotations
 
@@ -30,14 +30,16 @@
 CALLS_PER_S = 8.0
 CALLS = 40
 WARM_CALLS = 8
-PROXY_PORT, SERVICE_PORT = 8700, 8800  # and the level; the address is this process's own
-AT_ONCE = 6  # levels that are being started at a time
-REFUSED = 503
+PROXY_PORT, SERVICE_PORT = 8700, 8800  # plus the level; the addresses belong to this process only
+MAX_PARALLEL_STARTS = 6  # levels that are started at the same time
+REFUSED = 503  # status by which a proxy refuses a call
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """`status` 0: none came within the deadline. `late_ms`: how late the load sent it."""
+    """Result of one call.
+
+    `status` is 0 without a response within the deadline; `late_ms` is how late the load sent the call."""
 
     trace: str
     status: int
@@ -55,27 +57,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Chain:
-    """`fails`: its leaf answers every call with 500. Without `proxies` each service calls the next itself."""
+    """A chain to start.
+
+    If it `fails`, its leaf answers every call with 500. Without `proxies` each service calls the next
+    directly."""
 
     depth: int
     fails: bool = False
     proxies: bool = True
 
     def entry(self, level: int) -> str:
-        """Where calls of that level go."""
+        """Returns the address that calls of a level go to."""
         return _proxy(level) if self.proxies else _services(level)[0]
 
 
 async def _start_level(level: int, chain: Chain, folder: Path, started: list[Child]) -> None:
-    """Raises RigError if a process ends before it listens."""
+    """Starts service and proxy of a level. Raises RigError if a process ends before it listens."""
     service = Child(f"service-{level}", folder)
     started.append(service)
-    words = [*_services(level)]
+    arguments = [*_services(level)]
     if level < chain.depth:
-        words += ["--next", chain.entry(level + 1)]
+        arguments += ["--next", chain.entry(level + 1)]
     else:
-        words += ["--tally", str(folder / "tally.jsonl"), *(["--fail"] if chain.fails else [])]
-    await service.start("benchmarks.scale.chain_service", *words)
+        arguments += ["--tally", str(folder / "tally.jsonl"), *(["--fail"] if chain.fails else [])]
+    await service.start("benchmarks.scale.chain_service", *arguments)
     if chain.proxies:
         await _start_proxy(level, folder, started)
     await service.listening(SERVICE_PORT + level)
@@ -83,14 +88,14 @@
 
 async def _start_proxy(level: int, folder: Path, started: list[Child]) -> None:
     (folder / f"servers-{level}.toml").write_text(servers_text(_services(level)))
-    more = f'[servers]\nfile = "servers-{level}.toml"\nsettle_ms = 0'
-    proxy = await serve(f"proxy-{level}", folder, serve_text("p", _proxy(level), DEADLINE_MS, more))
+    servers_table = f'[servers]\nfile = "servers-{level}.toml"\nsettle_ms = 0'
+    proxy = await serve(f"proxy-{level}", folder, serve_text("p", _proxy(level), DEADLINE_MS, servers_table))
     started.append(proxy)
     await proxy.listening(PROXY_PORT + level)
 
 
 async def _call(client: HttpClient, trace: str, due_s: float) -> Answer:
-    """Its time counts from when it was due."""
+    """Makes one call; its duration counts from its due time."""
     late_ms = 1000.0 * (time.monotonic() - due_s)
     status = 0
     try:
@@ -102,7 +107,7 @@
 
 
 async def _offer(host: str, port: int, calls: int, name: str) -> list[Answer]:
-    """Open loop, at even gaps."""
+    """Makes evenly spaced calls, open loop."""
     client = HttpClient(host, port)
     begin_s = time.monotonic()
     tasks = []
@@ -121,47 +126,49 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
+class ChainRun:
+    """Results of the calls to one chain; `direct` are calls of the leaf itself."""
+
     answers: Sequence[Answer]
     direct: Sequence[Answer]
-    leaf_calls: Counter[str]  # by trace
-    left_ms: Sequence[float]  # of the deadline, at each call of the leaf
+    leaf_calls: Counter[str]  # attempts at the leaf, by trace id
+    left_ms: Sequence[float]  # rest of the deadline at each attempt at the leaf
 
 
-async def run(chain: Chain, calls: int = CALLS) -> Run:
-    """One chain from its start to its end. `direct`: calls of the leaf itself, one by one with the same
-    gaps."""
+async def run(chain: Chain, calls: int = CALLS) -> ChainRun:
+    """Starts a chain, makes the calls and ends it. Direct calls of the leaf have the same spacing."""
     depth, fails = chain.depth, chain.fails
-    with tempfile.TemporaryDirectory(prefix="chain-") as made:
-        folder = Path(made)
+    with tempfile.TemporaryDirectory(prefix="chain-") as folder_name:
+        folder = Path(folder_name)
         async with children() as started:
-            for first in range(1, depth + 1, AT_ONCE):
-                levels = range(first, min(first + AT_ONCE, depth + 1))
+            for first in range(1, depth + 1, MAX_PARALLEL_STARTS):
+                levels = range(first, min(first + MAX_PARALLEL_STARTS, depth + 1))
                 await asyncio.gather(*(_start_level(n, chain, folder, started) for n in levels))
-            await asyncio.sleep(0.5)  # lists are read
+            await asyncio.sleep(0.5)  # time for the proxies to read their server lists
             entry, leaf = _address(chain.entry(1)), _address(_services(depth)[0])
             if not fails:
                 await _offer(*entry, WARM_CALLS, "warm")
             answers = await _offer(*entry, calls, "call")
             direct = [] if fails else await _offer(*leaf, calls, "direct")
-            told = [json.loads(line) for line in (folder / "tally.jsonl").read_text().splitlines()]
-            counted = [each for each in told if each["trace"].startswith("call-")]
-            leaf_calls = Counter(str(each["trace"]) for each in counted)
-            return Run(answers, direct, leaf_calls, [float(each["left_ms"]) for each in counted])
+            entries = [json.loads(line) for line in (folder / "tally.jsonl").read_text().splitlines()]
+            call_entries = [each for each in entries if each["trace"].startswith("call-")]
+            leaf_calls = Counter(str(each["trace"]) for each in call_entries)
+            return ChainRun(answers, direct, leaf_calls, [float(each["left_ms"]) for each in call_entries])
 
 
 def measure(depth: int, calls: int = CALLS) -> Readings:
-    well = asyncio.run(run(Chain(depth), calls))
+    """Measures a healthy chain and a failing one."""
+    healthy = asyncio.run(run(Chain(depth), calls))
     failing = asyncio.run(run(Chain(depth, fails=True), calls))
-    took = quantiles([answer.took_ms for answer in well.answers])
-    direct = quantiles([answer.took_ms for answer in well.direct])
+    durations = quantiles([answer.took_ms for answer in healthy.answers])
+    direct = quantiles([answer.took_ms for answer in healthy.direct])
     statuses = Counter(answer.status for answer in failing.answers)
     attempts = [failing.leaf_calls.get(answer.trace, 0) for answer in failing.answers]
     return {
-        "served": sum(answer.status == 200 for answer in well.answers) / calls,
-        "added_p50": took.p50 - direct.p50,
-        "added_most": took.most - direct.most,
-        "left": mean(well.left_ms) if well.left_ms else 0.0,
+        "served": sum(answer.status == 200 for answer in healthy.answers) / calls,
+        "added_p50": durations.p50 - direct.p50,
+        "added_most": durations.most - direct.most,
+        "left": mean(healthy.left_ms) if healthy.left_ms else 0.0,
         "attempts": mean(attempts),
         "attempts_first": float(attempts[0]),
         "attempts_most": float(max(attempts)),
@@ -169,17 +176,17 @@
         "told_error": sum(count for status, count in statuses.items() if status >= 500) / calls
         - statuses[REFUSED] / calls,
         "unanswered": statuses[0] / calls,
-        "late": quantiles([answer.late_ms for answer in well.answers]).most,
+        "late": quantiles([answer.late_ms for answer in healthy.answers]).most,
         "told_p50": quantiles([answer.took_ms for answer in failing.answers]).p50,
     }
 
 
 def measure_without_proxies(depth: int, calls: int = CALLS) -> Readings:
-    """What the services of the chain add by themselves, over a call of the leaf."""
-    well = asyncio.run(run(Chain(depth, proxies=False), calls))
-    took = quantiles([answer.took_ms for answer in well.answers])
-    direct = quantiles([answer.took_ms for answer in well.direct])
-    return {"added_p50": took.p50 - direct.p50}
+    """Measures the time that the services of the chain add by themselves to a call of the leaf."""
+    healthy = asyncio.run(run(Chain(depth, proxies=False), calls))
+    durations = quantiles([answer.took_ms for answer in healthy.answers])
+    direct = quantiles([answer.took_ms for answer in healthy.direct])
+    return {"added_p50": durations.p50 - direct.p50}
 
 
 WITHOUT_PROXIES = Cost(
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -1,4 +1,4 @@
-"""Fits of a cost over its size: a line, a power law, and a line that bends once. No I/O."""
+"""Fits of a cost by size: a line, a power law, and a line with one bend. No I/O."""
 
 from __future__ import annotations
 
@@ -8,15 +8,18 @@
 import numpy
 
 MIN_POINTS = 4  # a line with a bend has four parameters
-BEND_GAIN = 0.25  # a bend is told if it leaves at most this share of the line's squared error
-BEND_TURN = 1.5  # and the slopes on both sides differ by this factor
-MIN_ERROR = 0.05  # and the line alone misses by this share of the mean at least
+# A bend is reported only if all three hold.
+BEND_GAIN = 0.25  # its squared error is at most this share of that of the line without a bend
+BEND_TURN = 1.5  # the slopes on both sides differ by more than this factor, or in sign
+MIN_ERROR = 0.05  # the line without a bend has at least this relative error
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """`cost = intercept + slope * size`. `slope_error`: its standard error. `error`: the root mean square of
-    what the line misses by, as a share of the mean cost."""
+    """The line `cost = intercept + slope * size`.
+
+    `slope_error` is the standard error of the slope. `error` is the root mean square of the residuals, as a
+    share of the mean cost."""
 
     intercept: float
     slope: float
@@ -29,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Power:
-    """`cost = factor * size ** exponent`. `error`: as of a line."""
+    """The power law `cost = factor * size ** exponent`; `error` is defined as for a line."""
 
     factor: float
     exponent: float
@@ -41,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bend:
-    """Where the line changes its slope, and its slopes before and after."""
+    """The size at which a line changes its slope, and the slopes before and after it."""
 
     size: float
     before: float
@@ -50,7 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """`power`: None where a size or a cost is not positive."""
+    """All fits of a series.
+
+    `power` is None if a size or a cost is not positive, `bend` if the line has no significant bend."""
 
     line: Line
     power: Power | None
@@ -58,28 +63,28 @@
 
 
 def fit(sizes: Sequence[float], costs: Sequence[float]) -> Fit:
-    """Raises ValueError for fewer than `MIN_POINTS` points."""
+    """Fits costs by size. Raises ValueError for fewer than `MIN_POINTS` points."""
     if len(sizes) != len(costs) or len(sizes) < MIN_POINTS:
         raise ValueError(f"{len(sizes)} sizes and {len(costs)} costs: {MIN_POINTS} of each are needed")
     x, y = numpy.asarray(sizes, dtype=float), numpy.asarray(costs, dtype=float)
-    line, squares = _line(x, y)
-    return Fit(line, _power(x, y), _bend(x, y, line, squares))
+    line, squared_error = _line(x, y)
+    return Fit(line, _power(x, y), _bend(x, y, line, squared_error))
 
 
-def _relative(misses: numpy.ndarray, y: numpy.ndarray) -> float:
+def _relative_error(residuals: numpy.ndarray, y: numpy.ndarray) -> float:
     mean = float(numpy.abs(y).mean())
-    return float(numpy.sqrt((misses**2).mean())) / mean if mean else 0.0
+    return float(numpy.sqrt((residuals**2).mean())) / mean if mean else 0.0
 
 
 def _line(x: numpy.ndarray, y: numpy.ndarray) -> tuple[Line, float]:
-    """The line of least squares, and its squared error."""
+    """Returns the least-squares line and its sum of squared residuals."""
     matrix = numpy.column_stack([numpy.ones_like(x), x])
     (intercept, slope), *_ = numpy.linalg.lstsq(matrix, y, rcond=None)
-    misses = y - (intercept + slope * x)
-    squares = float((misses**2).sum())
+    residuals = y - (intercept + slope * x)
+    squared_error = float((residuals**2).sum())
     spread = float(((x - x.mean()) ** 2).sum())
-    slope_error = float(numpy.sqrt(squares / (len(x) - 2) / spread)) if spread else 0.0
-    return Line(float(intercept), float(slope), slope_error, _relative(misses, y)), squares
+    slope_error = float(numpy.sqrt(squared_error / (len(x) - 2) / spread)) if spread else 0.0
+    return Line(float(intercept), float(slope), slope_error, _relative_error(residuals, y)), squared_error
 
 
 def _power(x: numpy.ndarray, y: numpy.ndarray) -> Power | None:
@@ -87,11 +92,11 @@
         return None
     exponent, log_factor = numpy.polyfit(numpy.log(x), numpy.log(y), 1)
     factor = float(numpy.exp(log_factor))
-    return Power(factor, float(exponent), _relative(y - factor * x**exponent, y))
+    return Power(factor, float(exponent), _relative_error(y - factor * x**exponent, y))
 
 
-def _bend(x: numpy.ndarray, y: numpy.ndarray, line: Line, squares: float) -> Bend | None:
-    """The best continuous line with one bend, at one of the sizes between the first and the last."""
+def _bend(x: numpy.ndarray, y: numpy.ndarray, line: Line, squared_error: float) -> Bend | None:
+    """Returns the best bend at one of the inner sizes, or None if it is no significant improvement."""
     inner = numpy.unique(x)[1:-1]
     if line.error < MIN_ERROR or not len(inner):
         return None
@@ -99,11 +104,11 @@
     for size in inner:
         matrix = numpy.column_stack([numpy.ones_like(x), x, numpy.maximum(0.0, x - size)])
         (intercept, before, turn), *_ = numpy.linalg.lstsq(matrix, y, rcond=None)
-        left = float(((y - matrix @ numpy.array([intercept, before, turn])) ** 2).sum())
-        if best is None or left < best[0]:
-            best = left, Bend(float(size), float(before), float(before + turn))
+        bent_error = float(((y - matrix @ numpy.array([intercept, before, turn])) ** 2).sum())
+        if best is None or bent_error < best[0]:
+            best = bent_error, Bend(float(size), float(before), float(before + turn))
     assert best is not None
-    left, bend = best
+    bent_error, bend = best
     small, large = sorted((abs(bend.before), abs(bend.after)))
-    turns = large > BEND_TURN * small or bend.before * bend.after < 0
-    return bend if left <= BEND_GAIN * squares and turns else None
+    slope_changes = large > BEND_TURN * small or bend.before * bend.after < 0
+    return bend if bent_error <= BEND_GAIN * squared_error and slope_changes else None
--- a/benchmarks/scale/gossip_table.py
+++ b/benchmarks/scale/gossip_table.py
@@ -1,4 +1,4 @@
-"""How many of a fleet's members one gossip table holds. No sockets."""
+"""The number of a fleet's members that one gossip table holds, without sockets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 INSTANCES = (34, 100, 200, 256, 340, 680)
 SEED = 7
-SAMPLED = 20  # tables that are filled
+SAMPLED = 20  # tables that are filled and averaged
 
 
 def _member(number: int) -> Member:
@@ -20,14 +20,14 @@
 
 
 def measure(instances: int) -> Readings:
-    """Tables of a few instances, after each has heard of everybody in an order of its own."""
-    chance = Random(SEED)
-    most = SwimSettings().most_members
+    """Measures the tables of some instances after each was given all members in a random order."""
+    rng = Random(SEED)
+    max_members = SwimSettings().most_members
     sizes = []
     for own in range(min(SAMPLED, instances)):
-        table = MemberTable(own, most)
+        table = MemberTable(own, max_members)
         others = [number for number in range(instances) if number != own]
-        chance.shuffle(others)
+        rng.shuffle(others)
         for number in others:
             table.add(_member(number))
         sizes.append(len(table))
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -1,7 +1,7 @@
-"""The list of servers: as the agreed file (TOML) and as discovery's message (JSON), over its length.
+"""The cost of reading the server list, as policy file (TOML) and as discovery message (JSON), by its length.
 
-What is timed runs in the event loop, between two calls. An instance reads the agreed file twice for each
-change: when it is asked whether it can take it, and when it prepares the decided version."""
+In the program the timed code runs in the event loop and delays calls. An instance reads the policy file twice
+per change: when it validates the change, and when it prepares the decided version."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def policy_file(servers: int, policy: str = POLICY) -> bytes:
-    """An agreed file with so many servers, sealed. `policy`: what it states beside them; "": a list alone."""
+    """Returns a sealed policy file with that many servers; `policy` is its text without the server list."""
     tables = [
         f'[[server]]\nname = "server-{number:04d}"\n'
         f'address = "10.0.{number // 250}.{1 + number % 250}:8000"\n'
@@ -46,7 +46,7 @@
 
 
 def discovery_message(servers: int) -> bytes:
-    """The whole list, as discovery sends it at the start and after a gap."""
+    """Returns the whole list as discovery sends it at the start and after a gap."""
     endpoints = [
         {
             "name": f"server-{number:04d}",
@@ -63,13 +63,13 @@
 
 
 def _cpu_ms(work: Callable[[], object]) -> float:
-    """Of one run, the least of a few."""
-    spent = []
+    """Returns the processor time of one run in ms, the least of `REPEATS` runs."""
+    durations_s = []
     for _ in range(REPEATS):
         before_s = time.process_time()
         work()
-        spent.append(time.process_time() - before_s)
-    return 1000.0 * min(spent)
+        durations_s.append(time.process_time() - before_s)
+    return 1000.0 * min(durations_s)
 
 
 def measure(servers: int) -> Readings:
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -1,4 +1,4 @@
-"""Processes that a measurement starts, and what the system tells of them. They die with their parent."""
+"""Starts the processes of a measurement, and reads their memory. They end with their parent."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def proportional_kb(pid: int) -> int:
-    """Kilobytes of memory, what several processes share divided among them (proc(5), Pss)."""
+    """Returns the memory of a process in KB; memory shared by several processes is divided (proc(5), Pss)."""
     for line in Path(f"/proc/{pid}/smaps_rollup").read_text().splitlines():
         if line.startswith("Pss:"):
             return int(line.split()[1])
@@ -21,18 +21,18 @@
 
 
 def free_port(host: str) -> int:
-    """A port that was free on that address a moment ago."""
-    with socket.socket() as found:
-        found.bind((host, 0))
-        port: int = found.getsockname()[1]
+    """Returns a port that is free on that address; another process may still take it."""
+    with socket.socket() as probe:
+        probe.bind((host, 0))
+        port: int = probe.getsockname()[1]
         return port
 
 
-def serve_text(name: str, listen: str, deadline_ms: float, more: str) -> str:
-    """A file for `client-proxy serve` with one class, of calls that may be repeated."""
+def serve_text(name: str, listen: str, deadline_ms: float, more_text: str) -> str:
+    """Returns a settings file for `client-proxy serve` with one class, of idempotent calls."""
     return f"""name = "{name}"
 listen = "{listen}"
-{more}
+{more_text}
 [[class]]
 name = "{CLASS}"
 effect = "safe"
@@ -42,7 +42,7 @@
 
 
 def servers_text(addresses: Sequence[str]) -> str:
-    """A file of servers that have been up for long."""
+    """Returns a server file whose servers need no slow start."""
     return "\n".join(
         f'[[server]]\nname = "server-{number}"\naddress = "{address}"\nwarm = true\n'
         for number, address in enumerate(addresses)
@@ -51,7 +51,7 @@
 
 @asynccontextmanager
 async def children() -> AsyncIterator[list[Child]]:
-    """A list to add processes to; whatever is in it at the end is killed."""
+    """Yields a list for started processes; at the end all processes in it are killed."""
     started: list[Child] = []
     try:
         yield started
@@ -61,7 +61,7 @@
 
 
 async def serve(name: str, folder: Path, text: str) -> Child:
-    """One client proxy as a process, started and not waited for."""
+    """Starts a client proxy as a process, without waiting until it listens."""
     config = folder / f"{name}.toml"
     config.write_text(text)
     child = Child(name, folder)
--- a/benchmarks/scale/region_cut.py
+++ b/benchmarks/scale/region_cut.py
@@ -1,7 +1,7 @@
-"""A region that is cut off from the others: how long its instances, and the others, are without a lease, and
-what becomes of changes on both sides. On the virtual clock.
+"""A region that is cut off from the others, on the virtual clock.
 
-Three regions with two, two and one of five control machines; the second is cut off. A change is proposed on
+Measures the time without a lease of instances on both sides, and the results of changes on both sides. Three
+regions have two, two and one of five control machines; the second region is cut off. A change is proposed on
 each side in the middle of the cut."""
 
 from __future__ import annotations
@@ -9,24 +9,26 @@
 from dataclasses import dataclass
 
 from benchmarks.scale.cost import Cost, Quantity, Readings
-from benchmarks.scale.town import CountedTown
+from benchmarks.scale.town import CountedCluster
 from client_proxy.consensus.messages import Message
 from client_proxy.consensus.simulated_cluster import ClusterSettings
 
 CUT_S = (10, 30, 60, 120, 180)
-INSTANCES = 60  # what is seen does not depend on it
+INSTANCES = 60  # the results don't depend on this number
 CONTROL_MACHINES = 5
 REGIONS = 3
 CUT_REGION = 1
-OUTSIDE, INSIDE = 0, 1  # control machines that propose
+OUTSIDE, INSIDE = 0, 1  # numbers of the control machines that propose
 LEASE_MS = 3000.0
-LOOK_MS = 100.0
-HEALED_S = 10.0  # of looking after the cut
+STEP_MS = 100.0  # time between two checks of the leases
+AFTER_CUT_S = 10.0  # length of the measurement after the cut
 
 
 @dataclass
-class RegionTown(CountedTown):
-    """A town of regions, which instances are dealt to in turn; `cut` drops what goes in and out of one."""
+class RegionCluster(CountedCluster):
+    """A cluster whose nodes are assigned to regions in turn.
+
+    While `cut` is set, messages in and out of the region `CUT_REGION` are dropped."""
 
     cut: bool = False
 
@@ -38,48 +40,48 @@
             super()._send(sender, to, message, sync_ms)
 
     def without_lease(self, inside: bool) -> int:
-        """Instances of that side that decide by nothing at this moment."""
-        held = (
+        """Returns the number of instances on one side of the cut that hold no lease now."""
+        leased_versions = (
             self.nodes[n].lease_holder.leased_version(self.now_ms)
             for n in self.nodes
             if self.inside(n) == inside
         )
-        return sum(version is None for version in held)
+        return sum(version is None for version in leased_versions)
 
 
-def _spent_without(played: RegionTown, length_s: float) -> tuple[float, float]:
-    """Seconds that an instance was without a lease in that time, in the mean: inside and outside."""
-    looks = round(1000.0 * length_s / LOOK_MS)
+def _measure_without_lease(cluster: RegionCluster, length_s: float) -> tuple[float, float]:
+    """Returns the mean time in s without a lease of an instance inside and outside of the cut region."""
+    steps = round(1000.0 * length_s / STEP_MS)
     inside = outside = 0
-    for _ in range(looks):
-        played.run(played.now_ms + LOOK_MS)
-        inside += played.without_lease(True)
-        outside += played.without_lease(False)
-    members = sum(played.inside(n) for n in played.nodes)
-    seconds = LOOK_MS / 1000.0
-    return seconds * inside / members, seconds * outside / (len(played.nodes) - members)
+    for _ in range(steps):
+        cluster.run(cluster.now_ms + STEP_MS)
+        inside += cluster.without_lease(True)
+        outside += cluster.without_lease(False)
+    inside_count = sum(cluster.inside(n) for n in cluster.nodes)
+    seconds = STEP_MS / 1000.0
+    return seconds * inside / inside_count, seconds * outside / (len(cluster.nodes) - inside_count)
 
 
 def measure(cut_s: int) -> Readings:
-    played = RegionTown(
+    cluster = RegionCluster(
         ClusterSettings(size=INSTANCES, acceptors=CONTROL_MACHINES, lease_ms=LEASE_MS, seed=7)
     )
-    played.run(2 * LEASE_MS)
-    played.cut = True
-    first = _spent_without(played, cut_s / 2.0)
-    played.propose(OUTSIDE, "outside")
-    played.propose(INSIDE, "inside")
-    second = _spent_without(played, cut_s / 2.0)
-    during = {name: played.outcome(name) for name in ("outside", "inside")}
-    played.cut = False
-    healed = _spent_without(played, HEALED_S)
+    cluster.run(2 * LEASE_MS)
+    cluster.cut = True
+    first_half = _measure_without_lease(cluster, cut_s / 2.0)
+    cluster.propose(OUTSIDE, "outside")
+    cluster.propose(INSIDE, "inside")
+    second_half = _measure_without_lease(cluster, cut_s / 2.0)
+    results = {name: cluster.outcome(name) for name in ("outside", "inside")}
+    cluster.cut = False
+    after_cut = _measure_without_lease(cluster, AFTER_CUT_S)
     return {
-        "refused_inside": first[0] + second[0],
-        "refused_outside": first[1] + second[1],
-        "after_healing": healed[0],
-        "decided_outside": float(during["outside"] is not None and during["outside"].outcome == "decided"),
-        "decided_inside": float(during["inside"] is not None and during["inside"].outcome == "decided"),
-        "by_one_version": float(played.count_active(2) == INSTANCES),
+        "refused_inside": first_half[0] + second_half[0],
+        "refused_outside": first_half[1] + second_half[1],
+        "after_healing": after_cut[0],
+        "decided_outside": float(results["outside"] is not None and results["outside"].outcome == "decided"),
+        "decided_inside": float(results["inside"] is not None and results["inside"].outcome == "decided"),
+        "by_one_version": float(cluster.count_active(2) == INSTANCES),
     }
 
 
--- a/benchmarks/scale/rollout.py
+++ b/benchmarks/scale/rollout.py
@@ -1,9 +1,8 @@
-"""A rollout in stages over the instances: its file, the reading of it, and the controller's work each second.
+"""A rollout in stages by the number of instances: its file, reading it, and the controller's work per second.
 
-Each instance reports its counts to each control machine once a second; the controller adds them up and
-compares the groups. The decisions alone, without sockets; the file lists 680 servers, and half of the
-instances use the new policy.
-"""
+Each instance reports its outcome counts to each control machine once a second; the controller adds them up
+and compares the groups. Only the decisions are measured, without sockets. The file lists 680 servers, and
+half of the instances use the new policy."""
 
 from __future__ import annotations
 
@@ -37,29 +36,29 @@
     )
 
 
-def _play(instances: int, table: RolloutTable, seconds: int) -> tuple[float, float]:
-    """Processor seconds for one instance's count to be added up, and for a second to be judged."""
+def _run_controller(instances: int, table: RolloutTable, seconds: int) -> tuple[float, float]:
+    """Returns the processor time in s to add one instance's report, and to evaluate one second of reports."""
     outcomes = OutcomeCounts()
     controller = RolloutController(plan_from_table(table), state_from_table(table), [CLASS.name], 0.0, [])
     zones = {member: f"zone-{member % ZONES}" for member in range(instances)}
-    told_s = judged_s = 0.0
+    record_s = evaluate_s = 0.0
     for second in range(1, seconds + 1):
         begin_s = time.process_time()
         for member, zone in zones.items():
             outcomes.record(
                 member, zone, CumulativeCounts(1, 1, {CLASS.name: (CALLS_A_SECOND * second, second)})
             )
-        counted_s = time.process_time()
+        recorded_at_s = time.process_time()
         controller.observe(float(second), outcomes.close_window(), 1.0, zones)
-        told_s += counted_s - begin_s
-        judged_s += time.process_time() - counted_s
-    return told_s / seconds / instances, judged_s / seconds
+        record_s += recorded_at_s - begin_s
+        evaluate_s += time.process_time() - recorded_at_s
+    return record_s / seconds / instances, evaluate_s / seconds
 
 
 def _memory_mb(instances: int, table: RolloutTable, seconds: int) -> float:
     tracemalloc.start()
     try:
-        _play(instances, table, seconds)
+        _run_controller(instances, table, seconds)
         return tracemalloc.get_traced_memory()[1] / 1e6
     finally:
         tracemalloc.stop()
@@ -71,13 +70,13 @@
     begin_s = time.process_time()
     read_policy(content, "the policy")
     read_s = time.process_time() - begin_s
-    told_s, judged_s = _play(instances, table, seconds)
+    record_s, evaluate_s = _run_controller(instances, table, seconds)
     return {
         "file": float(len(content)),
         "read": 1e3 * read_s,
         "count_bytes": float(len(encode(OutcomeReport(1, 1, "zone-1", {CLASS.name: (10**6, 10**3)})))),
-        "count": 1e6 * told_s,
-        "judge": 1e3 * judged_s,
+        "count": 1e6 * record_s,
+        "judge": 1e3 * evaluate_s,
         "memory": _memory_mb(instances, table, seconds),
     }
 
--- a/benchmarks/scale/services.py
+++ b/benchmarks/scale/services.py
@@ -1,5 +1,6 @@
-"""What client proxies cost a host that has one process for each service: memory, and processor time with no
-calls. Each has ten servers in its list, and neither agreement nor gossip."""
+"""Memory, and processor time without calls, of the client proxies on a host with one process per service.
+
+Each proxy has ten servers in its list, and takes part in neither agreement nor gossip."""
 
 from __future__ import annotations
 
@@ -22,23 +23,25 @@
 SERVERS = 10
 DEADLINE_MS = 2000.0
 HOST = "127.0.0.1"
-AT_ONCE = 8  # processes that are being started at a time
-SETTLE_S = 2.0
+MAX_PARALLEL_STARTS = 8  # processes that are started at the same time
+SETTLE_S = 2.0  # time after the start before the measurement begins
 IDLE_S = 5.0
 
 
 async def _measure(services: int, idle_s: float) -> Readings:
-    with tempfile.TemporaryDirectory(prefix="services-") as made:
-        folder = Path(made)
+    with tempfile.TemporaryDirectory(prefix="services-") as folder_name:
+        folder = Path(folder_name)
         (folder / "servers.toml").write_text(servers_text([f"10.0.0.{1 + n}:8000" for n in range(SERVERS)]))
-        more = '[servers]\nfile = "servers.toml"\nsettle_ms = 0'
+        servers_table = '[servers]\nfile = "servers.toml"\nsettle_ms = 0'
         async with children() as started:
             while len(started) < services:
                 batch = []
-                for _ in range(min(AT_ONCE, services - len(started))):
+                for _ in range(min(MAX_PARALLEL_STARTS, services - len(started))):
                     port = free_port(HOST)
                     name = f"service-{len(started)}"
-                    child = await serve(name, folder, serve_text(name, f"{HOST}:{port}", DEADLINE_MS, more))
+                    child = await serve(
+                        name, folder, serve_text(name, f"{HOST}:{port}", DEADLINE_MS, servers_table)
+                    )
                     started.append(child)
                     batch.append((child, port))
                 for child, port in batch:
--- a/benchmarks/scale/signatures.py
+++ b/benchmarks/scale/signatures.py
@@ -1,4 +1,4 @@
-"""Processor time of one signature and of one check of it (Ed25519), over the bytes that are signed."""
+"""Processor time of one Ed25519 signature and of its verification, by the number of signed bytes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from benchmarks.scale.cost import Cost, Quantity, Readings
 from client_proxy.membership.keys import Ed25519, verify_signature
 
-BYTES = (64, 128, 256, 600, 1200)  # a datagram of the agreement has 1,200 at most
+BYTES = (64, 128, 256, 600, 1200)  # a datagram of the agreement has at most 1,200
 REPEATS = 300
 SECRET = bytes(range(32))
 
--- a/tests/scale_costs/test_costs.py
+++ b/tests/scale_costs/test_costs.py
@@ -31,8 +31,8 @@
 
 
 def test_costs_have_unique_names_and_rising_sizes() -> None:
-    assert len(catalogue.COSTS) == len(catalogue.EVERY)
-    for cost in catalogue.EVERY:
+    assert len(catalogue.COSTS) == len(catalogue.ALL_COSTS)
+    for cost in catalogue.ALL_COSTS:
         assert list(cost.sizes) == sorted(set(cost.sizes)), cost.name
 
 
