--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -31,16 +31,16 @@
 from client_proxy.emulator.scenario import Fault
 from client_proxy.emulator.scenario_reader import load_scenario
 from client_proxy.emulator.simulation import simulate
-from client_proxy.operators import NOTHING, Operators
+from client_proxy.operators import NO_FEATURES, OperatorSettings
 from client_proxy.optional_dependencies import require
 from client_proxy.routing.idle_timeout import ConnectionSettings
 
 ROOT = Path(__file__).resolve().parents[1]
 DAY = ROOT / "examples" / "days" / "hall-lost-busy.toml"
 WAYS = {
-    "off": NOTHING,
-    "rest": Operators(connections=ConnectionSettings()),
-    "adaptive": Operators(connections=ConnectionSettings(idle_timeout_s=600.0)),
+    "off": NO_FEATURES,
+    "rest": OperatorSettings(connections=ConnectionSettings()),
+    "adaptive": OperatorSettings(connections=ConnectionSettings(idle_timeout_s=600.0)),
 }
 Job = tuple[str, str, int, int, int, float, float]
 
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -49,7 +49,7 @@
 from client_proxy.membership.messages import Suspect
 from client_proxy.membership.node import GossipNode
 from client_proxy.membership.settings import GossipSettings, SwimSettings
-from client_proxy.operators import NOTHING, Operators
+from client_proxy.operators import NO_FEATURES, OperatorSettings
 from client_proxy.optional_dependencies import require
 
 ROOT = Path(__file__).resolve().parents[1]
@@ -356,7 +356,7 @@
 def day_one(job: tuple[str, bool, int]) -> dict[str, Any]:
     name, gossip, seed = job
     day = replace(load_scenario(ROOT / "examples" / "days" / f"{name}.toml"), seed=seed)
-    played = simulate(day, operators=Operators(gossip=GossipSettings()) if gossip else NOTHING)
+    played = simulate(day, operators=OperatorSettings(gossip=GossipSettings()) if gossip else NO_FEATURES)
     of = build_report(played)
     return {"served": of.served_share, "broken": sum(of.rules.values()), "failures": len(played.failures)}
 
--- a/benchmarks/hall_loss.py
+++ b/benchmarks/hall_loss.py
@@ -23,7 +23,7 @@
 
 from client_proxy.emulator.scenario_reader import load_scenario
 from client_proxy.emulator.simulation import SimulationResult, simulate
-from client_proxy.operators import Operators, load_operators
+from client_proxy.operators import OperatorSettings, load_operators
 from client_proxy.routing.settings import LocalitySettings
 
 ROOT = Path(__file__).resolve().parents[1]
@@ -40,10 +40,10 @@
 )
 
 
-def operators(way: str, file: str) -> Operators:
+def operators(way: str, file: str) -> OperatorSettings:
     if way == "none":
-        return Operators()
-    return Operators(STRICT) if way == "strict" else load_operators(file)
+        return OperatorSettings()
+    return OperatorSettings(STRICT) if way == "strict" else load_operators(file)
 
 
 def service(played: SimulationResult, from_s: float, span_s: float) -> dict[str, float]:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -33,7 +33,7 @@
 from client_proxy.emulator.scenario_reader import load_scenario
 from client_proxy.emulator.simulation import SimulationResult, simulate
 from client_proxy.limits.settings import OverloadSettings
-from client_proxy.operators import NOTHING, Operators
+from client_proxy.operators import NO_FEATURES, OperatorSettings
 from client_proxy.optional_dependencies import require
 from client_proxy.routing.idle_timeout import ConnectionSettings
 
@@ -42,10 +42,10 @@
 # A window that hardly moves from what instances begin with: what a fixed limit a server would be.
 STATIC = OverloadSettings(growth=0.01, cut=0.01)
 WAYS = {
-    "before": NOTHING,
-    "now": Operators(overload=OverloadSettings()),
-    "static": Operators(overload=STATIC),
-    "rest": Operators(overload=OverloadSettings(), connections=ConnectionSettings()),
+    "before": NO_FEATURES,
+    "now": OperatorSettings(overload=OverloadSettings()),
+    "static": OperatorSettings(overload=STATIC),
+    "rest": OperatorSettings(overload=OverloadSettings(), connections=ConnectionSettings()),
 }
 
 
--- a/client_proxy/adapter.py
+++ b/client_proxy/adapter.py
@@ -44,7 +44,7 @@
 from client_proxy.api.settings import Settings
 from client_proxy.balancer.balancer import Balancer
 from client_proxy.balancer.errors import BalancerError
-from client_proxy.operators import NOTHING, Operators, load_operators
+from client_proxy.operators import NO_FEATURES, OperatorSettings, load_operators
 from client_proxy.settings import Json, read_settings
 from client_proxy.toml_table import TomlError
 
@@ -269,7 +269,7 @@
 class Host:
     """The instances of one process; they share nothing."""
 
-    def __init__(self, operators: Operators = NOTHING) -> None:
+    def __init__(self, operators: OperatorSettings = NO_FEATURES) -> None:
         self._balancers: dict[str, Balancer] = {}
         self._operators = operators
 
@@ -314,7 +314,7 @@
     return groups, False
 
 
-def serve(lines: Iterable[str], out: TextIO, err: TextIO, operators: Operators = NOTHING) -> int:
+def serve(lines: Iterable[str], out: TextIO, err: TextIO, operators: OperatorSettings = NO_FEATURES) -> int:
     """Answer every line until input ends; the exit code."""
     reader, host = Reader(err), Host(operators)
     for line in lines:
@@ -337,7 +337,7 @@
     parser.add_argument("--operators", metavar="FILE", help="the operators' TOML file; none: no advice")
     args = parser.parse_args()
     try:
-        operators = load_operators(args.operators) if args.operators else NOTHING
+        operators = load_operators(args.operators) if args.operators else NO_FEATURES
     except TomlError as error:
         print(f"adapter: {error}", file=sys.stderr)
         return 2
--- a/client_proxy/cli/asking.py
+++ b/client_proxy/cli/asking.py
@@ -8,7 +8,7 @@
 import click
 
 
-def asked(socket: Path, question: dict[str, Any]) -> dict[str, Any]:
+def ask_instance(socket: Path, question: dict[str, Any]) -> dict[str, Any]:
     """Its answer. A refusal ends the command with its reason."""
     from client_proxy.cli.control import ask
 
--- a/client_proxy/cli/commands.py
+++ b/client_proxy/cli/commands.py
@@ -15,7 +15,7 @@
 
 import click  # noqa: E402
 
-from client_proxy.cli.asking import asked  # noqa: E402
+from client_proxy.cli.asking import ask_instance  # noqa: E402
 from client_proxy.cli.policy import policy  # noqa: E402
 from client_proxy.cli.rollout import rollout  # noqa: E402
 from client_proxy.process_signals import PROCESS_SIGNALS  # noqa: E402
@@ -62,11 +62,11 @@
     import uvloop
 
     from client_proxy.cli.instance_file import load_instance_file
-    from client_proxy.cli.logs import set_up
+    from client_proxy.cli.logs import configure_logging
     from client_proxy.cli.serve import run
 
     instance_file = load_instance_file(path)
-    set_up(instance_file.file.log)
+    configure_logging(instance_file.file.log)
     uvloop.run(run(instance_file, PROCESS_SIGNALS))
 
 
@@ -109,7 +109,7 @@
     if b"[[class]]" in content:
         instance_file = load_instance_file(path)
         table = instance_file.file.servers
-        more = f", and {_checked(instance_file.beside(table.file))}" if table else ""
+        more = f", and {_checked(instance_file.resolve_path(table.file))}" if table else ""
         return f"an instance with {len(instance_file.file.class_)} classes{more}"
     fleet = read_server_list(content, str(path))
     sealed = "sealed" if fleet.sealed else "not sealed"
@@ -234,7 +234,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def status(socket: Path, as_json: bool) -> None:
     """What the instance at the control SOCKET is doing."""
-    said = asked(socket, {"do": "status"})
+    said = ask_instance(socket, {"do": "status"})
     if as_json:
         click.echo(json.dumps(said, indent=1))
         return
@@ -255,7 +255,7 @@
 def force(socket: Path, digest: str | None) -> None:
     """Have the instance take the list that it holds back."""
     question = {"do": "force"} | ({"digest": digest} if digest else {})
-    click.echo(f"taken: {asked(socket, question)['taken']}")
+    click.echo(f"taken: {ask_instance(socket, question)['taken']}")
 
 
 # Rehearsals
--- a/client_proxy/cli/control.py
+++ b/client_proxy/cli/control.py
@@ -22,7 +22,7 @@
 
 log = logging.getLogger(__name__)
 
-CALLERS = 16
+MAX_CALLERS = 16
 MAX_QUESTION_BYTES = 4096
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 CALL_TIMEOUT_S = 5.0
@@ -75,7 +75,7 @@
     async def _serve_caller(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._callers += 1
         try:
-            if self._callers > CALLERS:
+            if self._callers > MAX_CALLERS:
                 self._write(writer, {"ok": False, "why": "too many callers"})
                 return
             async with asyncio.timeout(CALL_TIMEOUT_S):
--- a/client_proxy/cli/instance_factory.py
+++ b/client_proxy/cli/instance_factory.py
@@ -49,7 +49,7 @@
     def __init__(self, instance_file: InstanceFile) -> None:
         self._instance_file = instance_file
         self.source: FileSource | None = None
-        self.agreed: ConsensusPolicySource | None = None
+        self.consensus_source: ConsensusPolicySource | None = None
         file = instance_file.file
         config = _platform_config(instance_file)
         endpoint_source = self._endpoint_source_factory()
@@ -60,17 +60,17 @@
             endpoint_source=endpoint_source,
             persistent_hooks=(Weights(),) if endpoint_source is not None else (),
         )
-        if self.agreed is not None:
-            self.daemon.engine.has_lease = self.agreed.may_serve_now
-            self.daemon.engine.on_request_ended = self.agreed.rollout.record_outcome
+        if self.consensus_source is not None:
+            self.daemon.engine.has_lease = self.consensus_source.may_serve_now
+            self.daemon.engine.on_request_ended = self.consensus_source.rollout.record_outcome
         self._saver: WarmStateSaver | None = None
         if file.learned:
-            self._saver = WarmStateSaver(self.daemon, instance_file.beside(file.learned))
+            self._saver = WarmStateSaver(self.daemon, instance_file.resolve_path(file.learned))
             self._saver.restore()
         self.control: Control | None = None
         if file.control:
-            commands = ControlCommands(file.name, self.daemon, self.source, self.agreed)
-            self.control = Control(instance_file.beside(file.control), commands.verbs())
+            commands = ControlCommands(file.name, self.daemon, self.source, self.consensus_source)
+            self.control = Control(instance_file.resolve_path(file.control), commands.verbs())
 
     # What lists the servers
 
@@ -89,11 +89,11 @@
         store: VersionStore | None = None
         if table.keep:
             try:
-                store = VersionStore(Folder(self._instance_file.beside(table.keep)), table.kept)
+                store = VersionStore(Folder(self._instance_file.resolve_path(table.keep)), table.kept)
             except OSError as error:
                 log.warning("versions can't be kept: %s", error)
         settings = WatchSettings(table.settle_ms, table.sealed, table.leaving_share, 1000.0 * table.hold_s)
-        path = self._instance_file.beside(table.file)
+        path = self._instance_file.resolve_path(table.file)
         self.source = FileSource(path, table.look_ms, settings, directory, notify, store)
         return self.source
 
@@ -104,9 +104,9 @@
         from client_proxy.consensus.policy_source import ConsensusPolicySource
 
         folder, zone = self._instance_file.path.parent, self._instance_file.file.hall
-        self.agreed = ConsensusPolicySource(table, folder, directory, notify, self._adopt, zone)
-        self.source = self.agreed
-        return self.agreed
+        self.consensus_source = ConsensusPolicySource(table, folder, directory, notify, self._adopt, zone)
+        self.source = self.consensus_source
+        return self.consensus_source
 
     def _adopt(self, policy: Policy, message: dict[str, Any]) -> None:
         """Let what the fleet agreed on decide from now on, on requests that come."""
@@ -120,8 +120,8 @@
 
     async def start(self) -> int:
         """Serve. Returns the port; raises OSError if an address can't be had."""
-        if self.agreed is not None:
-            await self.agreed.bind()
+        if self.consensus_source is not None:
+            await self.consensus_source.bind()
         port = await self.daemon.start()
         if self.control is not None:
             await self.control.start()
--- a/client_proxy/cli/instance_file.py
+++ b/client_proxy/cli/instance_file.py
@@ -8,7 +8,7 @@
 
 from client_proxy.config.models import PolicyTable, RequestClassEntry, ServeFile, parse
 from client_proxy.config.policy import Policy
-from client_proxy.operators import NOTHING, Operators, load_operators
+from client_proxy.operators import NO_FEATURES, OperatorSettings, load_operators
 from client_proxy.toml_table import TomlError, read_text
 
 Json = dict[str, Any]
@@ -23,9 +23,9 @@
 
     path: Path
     file: ServeFile
-    operators: Operators
+    operators: OperatorSettings
 
-    def beside(self, name: str) -> Path:
+    def resolve_path(self, name: str) -> Path:
         """Return a path that the file states, which is relative to the file."""
         return self.path.parent / name
 
@@ -37,7 +37,7 @@
         raise TomlError(f"{path}: servers: one of [servers], [agreement] and `discovery` is needed")
     if file.ordinal >= file.instances:
         raise TomlError(f"{path}: ordinal: {file.ordinal} is not below instances ({file.instances})")
-    operators = load_operators(path.parent / file.operators) if file.operators else NOTHING
+    operators = load_operators(path.parent / file.operators) if file.operators else NO_FEATURES
     return InstanceFile(path, file, operators)
 
 
--- a/client_proxy/cli/logs.py
+++ b/client_proxy/cli/logs.py
@@ -20,10 +20,10 @@
 from client_proxy.config.models import LogTable
 from client_proxy.token_bucket import TokenBucket
 
-MOST_EVENTS = 512
+MAX_EVENTS = 512
 
 
-class Limit(logging.Filter):
+class EventRateLimit(logging.Filter):
     """So many lines a second for each event."""
 
     def __init__(self, per_s: float, clock_s: Callable[[], float] = time.monotonic) -> None:
@@ -43,7 +43,7 @@
             bucket, left_out = TokenBucket(self._per_s, max(1.0, self._per_s)), 0
         goes = bucket.take(1000.0 * self._clock_s())
         self._events[key] = bucket, 0 if goes else left_out + 1
-        if len(self._events) > MOST_EVENTS:
+        if len(self._events) > MAX_EVENTS:
             self._events.popitem(last=False)
         if goes and left_out:
             record.left_out = left_out
@@ -60,7 +60,7 @@
     return event
 
 
-def set_up(stated: LogTable, stream: TextIO = sys.stderr) -> logging.Handler:
+def configure_logging(stated: LogTable, stream: TextIO = sys.stderr) -> logging.Handler:
     """Give the root logger one handler of this form; returns it."""
     shared: list[Any] = [
         structlog.stdlib.add_log_level,
@@ -80,7 +80,7 @@
     )
     handler = logging.StreamHandler(stream)
     handler.setFormatter(formatter)
-    handler.addFilter(Limit(stated.per_event_per_s))
+    handler.addFilter(EventRateLimit(stated.per_event_per_s))
     root = logging.getLogger()
     for old in list(root.handlers):
         root.removeHandler(old)
--- a/client_proxy/cli/policy.py
+++ b/client_proxy/cli/policy.py
@@ -12,12 +12,12 @@
 
 import click
 
-from client_proxy.cli.asking import asked
+from client_proxy.cli.asking import ask_instance
 
 FILE = click.Path(dir_okay=False, path_type=Path)
 SOCKET = click.Path(path_type=Path)
 REFUSED = 1
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 RISK = """\
 This makes the newest policy that is kept here the first of a new generation. Do it only when a majority
 of the seats is gone for good. What it risks:
@@ -33,7 +33,7 @@
     """What the fleet agrees on ([agreement]): servers, classes, limits, features."""
 
 
-def people(command: F) -> F:
+def requester_options(command: F) -> F:
     """Who wants a change, why, and how long to wait for its end."""
     command = click.option("--wait", "wait_s", default=30.0, show_default=True, help="Seconds for the end.")(
         command
@@ -44,17 +44,17 @@
     return click.option("--why", required=True, help="Why, for everyone who reads the history.")(command)
 
 
-def ended(socket: Path, question: dict[str, Any], wait_s: float) -> None:
+def request_change(socket: Path, question: dict[str, Any], wait_s: float) -> None:
     """Ask for the change, and tell what becomes of it."""
-    named = asked(socket, question)["change"]
+    named = ask_instance(socket, question)["change"]
     end_s = time.monotonic() + wait_s
     while time.monotonic() < end_s:
-        told = asked(socket, {"do": "status"})["agreement"]["changes"]
+        told = ask_instance(socket, {"do": "status"})["agreement"]["changes"]
         found = next((each for each in reversed(told) if each["change"] == named), None)
         if found is not None:
             click.echo(json.dumps(found))
             sys.exit(0 if found["what"] in ("decided", "could") else REFUSED)
-        time.sleep(LOOK_S)
+        time.sleep(POLL_INTERVAL_S)
     raise click.ClickException(f"{named} has not ended: `policy status` tells of it later")
 
 
@@ -100,7 +100,7 @@
     "--dry-run", "dry", is_flag=True, help="Ask every instance whether it can take it; change nothing."
 )
 @click.option("--despite", type=int, multiple=True, help="A member that is not asked: it would refuse all.")
-@people
+@requester_options
 def policy_propose(
     socket: Path,
     file: Path,
@@ -114,16 +114,16 @@
     """Propose the policy in FILE at the instance at the control SOCKET, which has to be one that votes."""
     question = {"do": "propose", "file": str(file.resolve()), "after": after, "dry": dry}
     question["despite"] = list(despite)
-    ended(socket, question | {"who": who, "why": why}, wait_s)
+    request_change(socket, question | {"who": who, "why": why}, wait_s)
 
 
 @policy.command("back")
 @click.argument("socket", type=SOCKET)
 @click.argument("version", type=int)
-@people
+@requester_options
 def policy_back(socket: Path, version: int, why: str, who: str, wait_s: float) -> None:
     """Propose what VERSION was, as a version of its own. Its seats are those of now."""
-    ended(socket, {"do": "back", "version": version, "who": who, "why": why}, wait_s)
+    request_change(socket, {"do": "back", "version": version, "who": who, "why": why}, wait_s)
 
 
 @policy.command("withdraw")
@@ -131,7 +131,7 @@
 @click.argument("change")
 def policy_withdraw(socket: Path, change: str) -> None:
     """Call off a change that is under way at SOCKET, if no seat was asked to vote for it yet."""
-    asked(socket, {"do": "withdraw", "change": change})
+    ask_instance(socket, {"do": "withdraw", "change": change})
     click.echo(f"withdrawn: {change}")
 
 
@@ -140,7 +140,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def policy_history(socket: Path, as_json: bool) -> None:
     """The versions that were decided, the newest last: who wanted each, and why."""
-    versions = asked(socket, {"do": "history"})["versions"]
+    versions = ask_instance(socket, {"do": "history"})["versions"]
     if as_json:
         click.echo(json.dumps(versions, indent=1))
         return
@@ -159,20 +159,20 @@
 @click.argument("socket", type=SOCKET)
 @click.option("--member", type=int, required=True, help="The instance's number.")
 @click.option("--memory", type=int, required=True, help="As `policy init` told it there.")
-@people
+@requester_options
 def seat_add(socket: Path, member: int, memory: int, why: str, who: str, wait_s: float) -> None:
     """Give a member a seat; if it has one already, another memory for it."""
     question = {"do": "seat", "add": {"member": member, "memory": memory}, "who": who, "why": why}
-    ended(socket, question, wait_s)
+    request_change(socket, question, wait_s)
 
 
 @seat.command("remove")
 @click.argument("socket", type=SOCKET)
 @click.option("--member", type=int, required=True, help="The instance's number; it may be gone for good.")
-@people
+@requester_options
 def seat_remove(socket: Path, member: int, why: str, who: str, wait_s: float) -> None:
     """Take a member's seat away."""
-    ended(socket, {"do": "seat", "remove": member, "who": who, "why": why}, wait_s)
+    request_change(socket, {"do": "seat", "remove": member, "who": who, "why": why}, wait_s)
 
 
 @policy.command("rescue")
@@ -208,7 +208,7 @@
 @click.argument("socket", type=SOCKET)
 def policy_status(socket: Path) -> None:
     """What the instance decides by, until when, and who was heard, as JSON."""
-    said = asked(socket, {"do": "status"}).get("agreement")
+    said = ask_instance(socket, {"do": "status"}).get("agreement")
     if said is None:
         raise click.ClickException("the policy is not agreed on here")
     click.echo(json.dumps(said, indent=1))
--- a/client_proxy/cli/rollout.py
+++ b/client_proxy/cli/rollout.py
@@ -9,10 +9,10 @@
 
 import click
 
-from client_proxy.cli.asking import asked
-from client_proxy.cli.policy import FILE, SOCKET, ended, people
+from client_proxy.cli.asking import ask_instance
+from client_proxy.cli.policy import FILE, SOCKET, request_change, requester_options
 
-LOOK_S = 1.0
+POLL_INTERVAL_S = 1.0
 
 
 @click.group()
@@ -25,20 +25,20 @@
 @click.argument("file", type=FILE)
 @click.option("--name", required=True, help="Of the rollout.")
 @click.option("--plan", type=FILE, required=True, help="Stages and what counts as worse, as TOML.")
-@people
+@requester_options
 def start(socket: Path, file: Path, name: str, plan: Path, why: str, who: str, wait_s: float) -> None:
     """Begin with the policy in FILE, at the instance at the control SOCKET, which has to be one that
     votes."""
     question = {"do": "rollout", "op": "start", "file": str(file.resolve()), "plan": str(plan.resolve())}
-    ended(socket, question | {"name": name, "who": who, "why": why}, wait_s)
+    request_change(socket, question | {"name": name, "who": who, "why": why}, wait_s)
 
 
 def _order(op: str, text: str) -> None:
     @rollout.command(op, help=text)
     @click.argument("socket", type=SOCKET)
-    @people
+    @requester_options
     def order(socket: Path, why: str, who: str, wait_s: float) -> None:
-        ended(socket, {"do": "rollout", "op": op, "who": who, "why": why}, wait_s)
+        request_change(socket, {"do": "rollout", "op": op, "who": who, "why": why}, wait_s)
 
 
 _order("pause", "Let it stand where it is: nothing moves until `go-on` or `back`.")
@@ -53,7 +53,7 @@
 def status(socket: Path, follow: bool, as_json: bool) -> None:
     """How it stands: the stage, who is in it, and by how much the new ones lose more."""
     while True:
-        said = asked(socket, {"do": "status"}).get("agreement") or {}
+        said = ask_instance(socket, {"do": "status"}).get("agreement") or {}
         found = said.get("rollout")
         if as_json:
             click.echo(json.dumps(found))
@@ -61,7 +61,7 @@
             click.echo(line(found))
         if not follow or found is None:
             return
-        time.sleep(LOOK_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 def line(found: dict[str, Any] | None) -> str:
--- a/client_proxy/clock.py
+++ b/client_proxy/clock.py
@@ -24,7 +24,7 @@
 
 
 @contextmanager
-def driven(monotonic_s: Callable[[], float], unix_s: Callable[[], float]) -> Iterator[None]:
+def use_clock(monotonic_s: Callable[[], float], unix_s: Callable[[], float]) -> Iterator[None]:
     """Let the clock read these sources (seconds) inside the block, for the whole process.
 
     Events with one clock's time would be compared with timers of another's, so all daemons of the process and
--- a/client_proxy/config/policy.py
+++ b/client_proxy/config/policy.py
@@ -9,7 +9,7 @@
 
 from client_proxy.config.fleet import ServerList, describe_server_changes, read_server_file
 from client_proxy.config.models import PolicyFile, PolicyTable, RequestClassEntry, RolloutTable
-from client_proxy.operators import FEATURES, NOTHING, Operators, read_features
+from client_proxy.operators import FEATURES, NO_FEATURES, OperatorSettings, read_features
 from client_proxy.toml_table import File, TomlError
 
 
@@ -30,7 +30,7 @@
     server_list: ServerList
     table: PolicyTable | None
     classes: tuple[RequestClassEntry, ...]
-    operators: Operators
+    operators: OperatorSettings
     rollout: RolloutTable | None = None
     candidate: Policy | None = None
 
@@ -72,11 +72,11 @@
     faults += [f"{name}: class.name: {class_name!r} stands more than once" for class_name in duplicates]
     if faults:
         raise TomlError("\n".join(faults))
-    operators = NOTHING
+    operators = NO_FEATURES
     if file.policy is not None:
         features = File(parsed.text, name)
         operators = read_features(features.top())
-        features.done()
+        features.raise_faults()
         _check_classes(operators, names, name)
     policy = Policy(parsed.fleet, file.policy, file.class_, operators)
     if file.rollout is None:
@@ -87,7 +87,7 @@
     return replace(policy, rollout=file.rollout, candidate=candidate)
 
 
-def _check_classes(operators: Operators, classes: list[str], name: str) -> None:
+def _check_classes(operators: OperatorSettings, classes: list[str], name: str) -> None:
     """Raise TomlError if the overload feature names classes that the policy does not have."""
     overload = operators.overload
     if overload is None:
--- a/client_proxy/emulator/__main__.py
+++ b/client_proxy/emulator/__main__.py
@@ -18,7 +18,7 @@
 from client_proxy.emulator.scenario import Scenario
 from client_proxy.emulator.scenario_reader import load_scenario
 from client_proxy.emulator.simulation import SimulationResult, run_on_real_clock, simulate
-from client_proxy.operators import NOTHING, load_operators
+from client_proxy.operators import NO_FEATURES, load_operators
 from client_proxy.toml_table import TomlError
 
 KEPT, BROKEN, UNUSABLE = 0, 1, 2
@@ -94,7 +94,7 @@
     def progress(passed_s: float, ended: list[ClientRequest]) -> None:
         print(format_window(passed_s, ended), file=sys.stderr, flush=True)
 
-    operators = load_operators(args.operators) if args.operators else NOTHING
+    operators = load_operators(args.operators) if args.operators else NO_FEATURES
     shown = None if args.quiet else progress
     result: SimulationResult
     if args.clock == "virtual":
--- a/client_proxy/emulator/environment.py
+++ b/client_proxy/emulator/environment.py
@@ -15,7 +15,7 @@
 from client_proxy.emulator.process_model import DeduplicationGroup
 from client_proxy.emulator.scenario import RequestClassSpec, Scenario, ServerSpec
 from client_proxy.emulator.server_faults import ActiveFault
-from client_proxy.operators import Operators
+from client_proxy.operators import OperatorSettings
 
 if TYPE_CHECKING:
     from client_proxy.membership.node import GossipNode
@@ -132,7 +132,7 @@
         """All proxies by number."""
 
     @property
-    def operators(self) -> Operators:
+    def operators(self) -> OperatorSettings:
         """The operators' settings, for proxies in this process."""
 
     @property
--- a/client_proxy/emulator/scenario_reader.py
+++ b/client_proxy/emulator/scenario_reader.py
@@ -72,8 +72,8 @@
     fault_tables = top.tables("incident")
     if not file.faults:
         scenario = _with_faults(scenario, fault_tables)
-    top.end()
-    file.done()
+    top.reject_unknown_keys()
+    file.raise_faults()
     try:
         read_settings(proxy_settings(scenario, 0, scenario.clients.proxies))
     except (ValueError, KeyError) as error:
@@ -154,7 +154,7 @@
     if request_class.latency_objective_ms > request_class.deadline_ms:
         objective_ms, deadline_ms = request_class.latency_objective_ms, request_class.deadline_ms
         table.fault("aim_ms", f"{objective_ms:g} is past the deadline, {deadline_ms:g}")
-    table.end()
+    table.reject_unknown_keys()
     return request_class
 
 
@@ -183,7 +183,7 @@
         pause_interval_s=table.number_("pause_every_s", default.pause_interval_s),
         pause_ms=table.number_("pause_ms", default.pause_ms),
     )
-    table.end()
+    table.reject_unknown_keys()
     return server_type
 
 
@@ -199,7 +199,7 @@
         table.fault("hall", f"{group.zone!r} is not one of the halls")
     if group.server_type not in type_names:
         table.fault("kind", f"no [[kind]] is named {group.server_type!r}")
-    table.end()
+    table.reject_unknown_keys()
     return group
 
 
@@ -227,7 +227,7 @@
     )
     _check_fault_names(table, fault, known)
     _check_fault_values(table, fault)
-    table.end()
+    table.reject_unknown_keys()
     return fault
 
 
@@ -267,7 +267,7 @@
         max_connections=table.whole("connections", default.max_connections, 1, 10_000),
     )
     _check_rates(table, clients)
-    table.end()
+    table.reject_unknown_keys()
     return clients
 
 
@@ -297,7 +297,7 @@
         retry_after=table.flag("retry_after", default.retry_after),
         max_poll_interval_ms=table.number_("must_ask_ms", default.max_poll_interval_ms, 1),
     )
-    table.end()
+    table.reject_unknown_keys()
     return rules
 
 
@@ -310,7 +310,7 @@
         size_factors=table.numbers("sizes", default.size_factors, 2),
         min_served_share=table.number_("least_served", default.min_served_share, 0, 1),
     )
-    table.end()
+    table.reject_unknown_keys()
     return exploration
 
 
@@ -322,7 +322,7 @@
         handshake_round_trips=table.number_("handshake_rtts", default.handshake_round_trips),
         connect_timeout_ms=table.number_("connect_timeout_ms", default.connect_timeout_ms, 1),
     )
-    table.end()
+    table.reject_unknown_keys()
     return network
 
 
@@ -337,7 +337,7 @@
     for name in reports.fields:
         if name not in REPORT_FIELDS:
             table.fault("fields", f"{name!r} is not a figure that servers report")
-    table.end()
+    table.reject_unknown_keys()
     return reports
 
 
@@ -350,5 +350,5 @@
         stall_delay_ms=table.number_("silent_notice_ms", default.stall_delay_ms),
         latency_ms=table.number_("latency_ms", default.latency_ms),
     )
-    table.end()
+    table.reject_unknown_keys()
     return discovery
--- a/client_proxy/emulator/simulation.py
+++ b/client_proxy/emulator/simulation.py
@@ -34,7 +34,7 @@
 from client_proxy.emulator.timeline import TimeLine
 from client_proxy.emulator.virtual import Scheduler
 from client_proxy.emulator.virtual_proxy import VirtualProxy
-from client_proxy.operators import NOTHING, Operators
+from client_proxy.operators import NO_FEATURES, OperatorSettings
 
 if TYPE_CHECKING:
     from client_proxy.membership.node import GossipNode
@@ -108,7 +108,7 @@
         self.proxies: list[ProxyHandle] = []
         self.unix_s: Callable[[], float] = lambda: 0.0
         self.accepts_foreign_requests = False
-        self.operators = NOTHING
+        self.operators = NO_FEATURES
         self.operators_file: Path | None = None
         self.byzantine_reporters: dict[int, type[GossipNode]] = {}
         self.unreported_requests: list[ClientRequest] = []
@@ -314,7 +314,7 @@
 def simulate(
     scenario: Scenario,
     progress: ProgressCallback | None = None,
-    operators: Operators = NOTHING,
+    operators: OperatorSettings = NO_FEATURES,
     byzantine_reporters: dict[int, type[GossipNode]] | None = None,
 ) -> SimulationResult:
     """Run a scenario on a virtual clock: the same scenario always gives the same event log.
@@ -339,7 +339,7 @@
     def unix_s() -> float:
         return UNIX_START_S + scheduler.now_s
 
-    with clock.driven(scheduler.time, unix_s), _without_daemon_logs():
+    with clock.use_clock(scheduler.time, unix_s), _without_daemon_logs():
         simulation = Simulation(scenario, loop)
         simulation.operators = operators
         simulation.byzantine_reporters = byzantine_reporters or {}
--- a/client_proxy/fault_injection/command.py
+++ b/client_proxy/fault_injection/command.py
@@ -10,7 +10,7 @@
 import time
 from pathlib import Path
 
-from client_proxy.optional_dependencies import lacking, require
+from client_proxy.optional_dependencies import missing_packages_message, require
 
 require("client-proxy drill", "rig", "rich", "pydantic", "httptools")
 
@@ -71,7 +71,7 @@
     """Play the plan in FILE. Exit code 0: passed; 1: a rule was broken; 3: the drill itself failed; 4: the
     machine was too busy for a verdict."""
     if page is not None:
-        told = lacking("--page", "plots", "matplotlib")
+        told = missing_packages_message("--page", "plots", "matplotlib")
         if told:
             raise click.UsageError(told)
     stated = plan.load(file)
--- a/client_proxy/json_object.py
+++ b/client_proxy/json_object.py
@@ -93,15 +93,15 @@
             )
         return known[value]
 
-    def inner(self, key: str) -> JsonObject:
+    def required_object(self, key: str) -> JsonObject:
         """Return the object under a key."""
         return JsonObject(self.raw(key), self.at(key))
 
-    def optional(self, key: str) -> JsonObject:
+    def optional_object(self, key: str) -> JsonObject:
         """Return the object under a key, empty where it is absent."""
-        return self.inner(key) if key in self else JsonObject({}, self.at(key))
+        return self.required_object(key) if key in self else JsonObject({}, self.at(key))
 
-    def each(self, key: str) -> Iterator[JsonObject]:
+    def iter_objects(self, key: str) -> Iterator[JsonObject]:
         """Yield the objects of a list."""
         for number, value in enumerate(self._list(key)):
             yield JsonObject(value, f"{self.at(key)}[{number}]")
--- a/client_proxy/limits/settings.py
+++ b/client_proxy/limits/settings.py
@@ -36,7 +36,9 @@
     least_table = t.table("least")
     settings = OverloadSettings(
         class_order=t.texts("first", defaults.class_order),
-        min_shares={name: least_table.number_(name, least=0.0, most=1.0) for name in least_table.left()},
+        min_shares={
+            name: least_table.number_(name, least=0.0, most=1.0) for name in least_table.remaining_keys()
+        },
         target_inflation=t.number_("target", defaults.target_inflation, 1.1, 20.0),
         growth=t.number_("growth", defaults.growth, 0.01, 10.0),
         cut=t.number_("cut", defaults.cut, 0.01, 20.0),
@@ -53,5 +55,5 @@
     if settings.retry_after_ms[0] > settings.retry_after_ms[1]:
         t.fault("come_back_most_ms", "it is less than come_back_least_ms")
     least_table.end()
-    t.end()
+    t.reject_unknown_keys()
     return settings
--- a/client_proxy/membership/keys.py
+++ b/client_proxy/membership/keys.py
@@ -154,7 +154,7 @@
         if number in keys:
             table.fault("number", f"{number} is used twice")
         keys[number] = _read_bytes(table, key, size)
-        table.end()
+        table.reject_unknown_keys()
     if len(keys) > MAX_VALID_KEYS:
         tables[-1].fault("number", f"at most {MAX_VALID_KEYS} are valid at a time, not {len(keys)}")
     return keys
@@ -181,8 +181,8 @@
     secret = _read_bytes(top, "private", SECRET_BYTES)
     group_keys = _read_numbered_keys(top.tables("group", least=1), "secret", SECRET_BYTES)
     authority_keys = _read_numbered_keys(top.tables("authority", least=1), "public", PUBLIC_KEY_BYTES)
-    top.end()
-    file.done()
+    top.reject_unknown_keys()
+    file.raise_faults()
     signer = Ed25519(secret)
     certificate = Certificate(member, name_tag(zone), epoch, authority_number, signer.public_key, signature)
     keyring = Keyring(certificate, signer, group_keys, authority_keys)
--- a/client_proxy/membership/settings.py
+++ b/client_proxy/membership/settings.py
@@ -60,7 +60,7 @@
     )
     if settings.swim.timeout_ms >= settings.swim.period_ms:
         table.fault("timeout_ms", "it is not less than period_ms")
-    table.end()
+    table.reject_unknown_keys()
     return settings
 
 
--- a/client_proxy/operators.py
+++ b/client_proxy/operators.py
@@ -11,7 +11,7 @@
 from client_proxy.api.settings import Settings
 from client_proxy.limits.load_shedding import LoadShedding
 from client_proxy.limits.settings import OverloadSettings, read_overload
-from client_proxy.optional_dependencies import lacking
+from client_proxy.optional_dependencies import missing_packages_message
 from client_proxy.outlier.ejection_hook import EjectionHook
 from client_proxy.outlier.settings import OutlierSettings, parse_outlier_settings
 from client_proxy.routing.idle_timeout import ConnectionSettings, read_connections
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operators:
+class OperatorSettings:
     """What operators state. A feature whose table is not in the file is off."""
 
     halls: LocalitySettings | None = None
@@ -74,15 +74,15 @@
         return CompositeHook(hooks) if hooks else None
 
 
-NOTHING = Operators()
+NO_FEATURES = OperatorSettings()
 
 
 FEATURES = ("halls", "overload", "connections", "reach")  # that a policy can state for the whole fleet
 
 
-def read_features(top: Table) -> Operators:
+def read_features(top: Table) -> OperatorSettings:
     """Read the features that a policy can state. Faults are collected by the file."""
-    return Operators(
+    return OperatorSettings(
         halls=read_locality(top.table("halls")) if top.has("halls") else None,
         overload=read_overload(top.table("overload")) if top.has("overload") else None,
         connections=read_connections(top.table("connections")) if top.has("connections") else None,
@@ -90,7 +90,7 @@
     )
 
 
-def parse_operators(text: str, name: str) -> Operators:
+def parse_operators(text: str, name: str) -> OperatorSettings:
     """Read an operators' file. Raises TomlError with one line for each fault."""
     file = File(text, name)
     top = file.top()
@@ -98,18 +98,18 @@
     gossip: GossipSettings | None = None
     if top.has("gossip"):
         # Checked here: found out by each of 300 simulated daemons, it would fill the screen 300 times.
-        lacks = lacking("[gossip]", "gossip", "cryptography")
+        lacks = missing_packages_message("[gossip]", "gossip", "cryptography")
         if lacks:
             raise TomlError(f"{name}: {lacks}")
         # Imported here: a daemon without the table starts without the package.
         from client_proxy.membership.settings import parse_gossip_settings
 
         gossip = parse_gossip_settings(top.table("gossip"))
-    top.end()
-    file.done()
+    top.reject_unknown_keys()
+    file.raise_faults()
     return replace(operators, gossip=gossip)
 
 
-def load_operators(path: str | Path) -> Operators:
+def load_operators(path: str | Path) -> OperatorSettings:
     """Read the operators' file at a path. Raises TomlError."""
     return parse_operators(read_text(path), str(path))
--- a/client_proxy/optional_dependencies.py
+++ b/client_proxy/optional_dependencies.py
@@ -18,7 +18,7 @@
     return [name for name in modules if not installed(name)]
 
 
-def lacking(part: str, extra: str, *modules: str) -> str:
+def missing_packages_message(part: str, extra: str, *modules: str) -> str:
     """Return the line for a person: what lacks and what to install; "": nothing lacks."""
     missing_modules = missing(*modules)
     if not missing_modules:
@@ -32,7 +32,7 @@
 
     For commands, before they import it.
     """
-    message = lacking(part, extra, *modules)
+    message = missing_packages_message(part, extra, *modules)
     if message:
         print(message, file=sys.stderr)
         raise SystemExit(2)
--- a/client_proxy/outlier/settings.py
+++ b/client_proxy/outlier/settings.py
@@ -27,5 +27,5 @@
     )
     if settings.max_probe_interval_s < settings.probe_interval_s:
         table.fault("longest_trial_s", "it is less than trial_s")
-    table.end()
+    table.reject_unknown_keys()
     return settings
--- a/client_proxy/proxy/daemon.py
+++ b/client_proxy/proxy/daemon.py
@@ -18,7 +18,7 @@
 from client_proxy.api.settings import Settings
 from client_proxy.balancer.request import DEFAULT_DEADLINE_MS
 from client_proxy.endpoint_directory import EndpointDirectory
-from client_proxy.operators import NOTHING, Operators
+from client_proxy.operators import NO_FEATURES, OperatorSettings
 from client_proxy.proxy.config import Config
 from client_proxy.proxy.dialling import OpenSocket, open_socket
 from client_proxy.proxy.discovery import Discovery
@@ -86,7 +86,7 @@
 
 
 def with_connection_bounds(
-    settings: Settings, operators: Operators, seed: int, connections: int
+    settings: Settings, operators: OperatorSettings, seed: int, connections: int
 ) -> tuple[Settings, IdleTimeout | None]:
     """Apply the operators' connection limits to the settings.
 
@@ -129,7 +129,7 @@
         config: Config,
         make_socket: OpenSocket = open_socket,
         quota: ConnectionQuota | None = None,
-        operators: Operators = NOTHING,
+        operators: OperatorSettings = NO_FEATURES,
         gossip: Gossip | None = None,
         endpoint_source: EndpointSourceFactory | None = None,
         persistent_hooks: Sequence[BalancerHook] = (),
@@ -208,7 +208,7 @@
     def adopt(
         self,
         settings: Settings,
-        operators: Operators,
+        operators: OperatorSettings,
         message: Json,
         persistent_hooks: Sequence[BalancerHook] = (),
     ) -> None:
--- a/client_proxy/proxy/engine.py
+++ b/client_proxy/proxy/engine.py
@@ -38,7 +38,7 @@
 from client_proxy.clock import now_ms
 from client_proxy.endpoint_directory import EndpointDirectory
 from client_proxy.limits.client_retries import ClientRetries
-from client_proxy.operators import NOTHING, Operators
+from client_proxy.operators import NO_FEATURES, OperatorSettings
 from client_proxy.proxy.messages import ClientRequest
 from client_proxy.proxy.pending_request import PendingRequest, ResponseWriter
 from client_proxy.proxy.upstream_attempt import AttemptResult, UpstreamAttempt
@@ -85,7 +85,7 @@
         seed: int,
         directory: EndpointDirectory,
         upstream: UpstreamPool,
-        operators: Operators = NOTHING,
+        operators: OperatorSettings = NO_FEATURES,
         persistent_hooks: Sequence[BalancerHook] = (),
         predecessor: Engine | None = None,
     ) -> None:
--- a/client_proxy/proxy/program.py
+++ b/client_proxy/proxy/program.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from client_proxy.operators import NOTHING, Operators, load_operators
+from client_proxy.operators import NO_FEATURES, OperatorSettings, load_operators
 from client_proxy.process_signals import ProcessSignals
 from client_proxy.proxy.config import Config, load_config
 from client_proxy.proxy.daemon import Daemon
@@ -26,7 +26,9 @@
 log = logging.getLogger(__name__)
 
 
-async def run(config: Config, operators: Operators, keyring: Keyring | None, signals: ProcessSignals) -> None:
+async def run(
+    config: Config, operators: OperatorSettings, keyring: Keyring | None, signals: ProcessSignals
+) -> None:
     """Serve until SIGTERM or SIGINT, then shut down gracefully."""
     gossip: Gossip | None = None
     if operators.gossip is not None and keyring is not None:
@@ -61,7 +63,7 @@
     daemon.move(address)
 
 
-def load_keys(operators: Operators) -> Keyring | None:
+def load_keys(operators: OperatorSettings) -> Keyring | None:
     """Return the gossip keys that the operators' file names, or None without gossip. Raises TomlError."""
     if operators.gossip is None:
         return None
@@ -94,7 +96,7 @@
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     try:
         config = load_config(os.environ)
-        operators = load_operators(args.operators) if args.operators else NOTHING
+        operators = load_operators(args.operators) if args.operators else NO_FEATURES
         keyring = load_keys(operators)
     except (ConfigError, TomlError) as error:
         print(f"client_proxy.proxy: {error}", file=sys.stderr)
--- a/client_proxy/routing/idle_timeout.py
+++ b/client_proxy/routing/idle_timeout.py
@@ -47,7 +47,7 @@
             table.number_("opens_per_s", least=0.1, most=100_000.0) if table.has("opens_per_s") else None
         ),
     )
-    table.end()
+    table.reject_unknown_keys()
     return settings
 
 
--- a/client_proxy/routing/settings.py
+++ b/client_proxy/routing/settings.py
@@ -55,7 +55,7 @@
         overprovisioning=table.number_("overprovisioning", default.overprovisioning, 1.0, 10.0),
         spillover_share=table.number_("spill_share", default.spillover_share, 0.0, 1.0),
         spillover_shares={
-            zone: spill_table.number_(zone, least=0.0, most=1.0) for zone in spill_table.left()
+            zone: spill_table.number_(zone, least=0.0, most=1.0) for zone in spill_table.remaining_keys()
         },
         reserved_share=table.number_("reserved", default.reserved_share, 0.0, 0.9),
         panic_threshold=table.number_("panic", default.panic_threshold, 0.0, 1.0),
@@ -72,14 +72,14 @@
     )
     near_table.end()
     spill_table.end()
-    table.end()
+    table.reject_unknown_keys()
     return settings
 
 
 def _read_levels(near_table: Table) -> dict[str, Levels]:
     """Return the levels by zone; each zone must be in its own first level, and none may be named twice."""
     levels: dict[str, Levels] = {}
-    for zone in near_table.left():
+    for zone in near_table.remaining_keys():
         levels[zone] = near_table.lists(zone)
         named = [name for level in levels[zone] for name in level]
         if len(set(named)) != len(named):
--- a/client_proxy/scale/command.py
+++ b/client_proxy/scale/command.py
@@ -8,7 +8,7 @@
 import time
 from pathlib import Path
 
-from client_proxy.optional_dependencies import lacking, require
+from client_proxy.optional_dependencies import missing_packages_message, require
 
 require("client-proxy scale", "rig", "rich", "pydantic", "httptools", "msgspec", "cryptography")
 
@@ -38,7 +38,7 @@
     """Play the plan in FILE. Exit code 0: passed; 1: a hollow instance died, lags or does not report; 2: the
     file can't be used, or asks for too much; 3: the run itself failed; 4: the machine was too busy."""
     if page is not None:
-        told = lacking("--page", "plots", "matplotlib")
+        told = missing_packages_message("--page", "plots", "matplotlib")
         if told:
             raise click.UsageError(told)
     stated = plan.load(file)
--- a/client_proxy/scale/hollow.py
+++ b/client_proxy/scale/hollow.py
@@ -19,7 +19,7 @@
 from client_proxy.cli.control import Control, Json
 from client_proxy.cli.errors import CommandError
 from client_proxy.cli.instance_file import load_instance_file, settings_document
-from client_proxy.cli.logs import set_up
+from client_proxy.cli.logs import configure_logging
 from client_proxy.clock import now_ms
 from client_proxy.config.models import ServeFile
 from client_proxy.config.policy import Policy
@@ -81,7 +81,7 @@
         self._control: Control | None = None
         if serving.file.control:
             verbs = {"status": self._status, "propose": self._propose}
-            self._control = Control(serving.beside(serving.file.control), verbs)
+            self._control = Control(serving.resolve_path(serving.file.control), verbs)
 
     async def start(self) -> None:
         await self.source.bind()
@@ -255,7 +255,7 @@
 
     from client_proxy.config.models import LogTable
 
-    set_up(LogTable(form="json", per_event_per_s=20.0))
+    configure_logging(LogTable(form="json", per_event_per_s=20.0))
     logging.getLogger("client_proxy").setLevel(logging.INFO)
     asyncio.set_event_loop_policy(uvloop.EventLoopPolicy())  # as the real one's loop
     serve(orders)
--- a/client_proxy/settings.py
+++ b/client_proxy/settings.py
@@ -156,20 +156,20 @@
     Raises JsonValueError (a ValueError), with the value's place, for what can't be used.
     """
     facts = JsonObject(raw, "settings")
-    reporting, family = facts.optional("reporting"), facts.optional("family_info")
-    tenants = facts.each("projects") if "projects" in facts else ()
+    reporting, family = facts.optional_object("reporting"), facts.optional_object("family_info")
+    tenants = facts.iter_objects("projects") if "projects" in facts else ()
     return Settings(
-        classes=tuple(read_class(category) for category in facts.each("categories")),
+        classes=tuple(read_class(category) for category in facts.iter_objects("categories")),
         proxies=facts.count("balancers", 1),
         subscribe="discovery" in facts and facts.text("discovery") == "subscribe",
         report_fields=reporting.texts("fields") if "fields" in reporting else (),
         reports=reporting.one_of("how", REPORTS) if "how" in reporting else Reports.INLINE,
         weight_by_work="counted_by" in facts and facts.text("counted_by") == "work",
         warm_keys="warm_keys" in family and family.flag("warm_keys"),
-        limits=read_limits(facts.inner("bounds")),
-        safety=read_safety(facts.inner("safety")),
-        prices=read_prices(facts.optional("prices")),
-        objective=read_objective(facts.optional("objective_mix")),
+        limits=read_limits(facts.required_object("bounds")),
+        safety=read_safety(facts.required_object("safety")),
+        prices=read_prices(facts.optional_object("prices")),
+        objective=read_objective(facts.optional_object("objective_mix")),
         tenants=tuple(Tenant(tenant.text("name"), tenant.number("quota_per_s", 0.0)) for tenant in tenants),
         **present(facts, facts.text, zone="zone"),
         **present(facts, facts.count, ordinal="ordinal"),
--- a/client_proxy/toml_table.py
+++ b/client_proxy/toml_table.py
@@ -63,7 +63,7 @@
         """Return the table at the top of the file."""
         return Table(self, "", 0, self.raw)
 
-    def done(self) -> None:
+    def raise_faults(self) -> None:
         """Raise TomlError if any fault was found."""
         if self.faults:
             raise TomlError("\n".join(text for _, text in sorted(self.faults)))
@@ -171,7 +171,7 @@
         raw = self._take(key, {}, "a table", lambda v: isinstance(v, dict)) or {}
         return Table(self.file, f"{self.name}.{key}" if self.name else key, 0, raw)
 
-    def left(self) -> tuple[str, ...]:
+    def remaining_keys(self) -> tuple[str, ...]:
         """Return the keys that are left, for tables whose keys are names of the operators' choosing."""
         return tuple(self._raw)
 
@@ -198,7 +198,7 @@
             self.fault(key, f"at least {least} [[{key}]] is needed")
         return [Table(self.file, key, number, each) for number, each in enumerate(raw)]
 
-    def end(self) -> None:
+    def reject_unknown_keys(self) -> None:
         """Record a fault for each key that is left."""
         for key in self._raw:
             self.fault(key, "not a known key")
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -22,9 +22,9 @@
 
 from client_proxy.api.policy_hook import PickContext
 from client_proxy.cli.commands import main
-from client_proxy.cli.control import CALLERS, Control, ask
+from client_proxy.cli.control import MAX_CALLERS, Control, ask
 from client_proxy.cli.errors import CommandError
-from client_proxy.cli.logs import MOST_EVENTS, Limit, set_up
+from client_proxy.cli.logs import MAX_EVENTS, EventRateLimit, configure_logging
 from client_proxy.config.fleet import read_server_list
 from client_proxy.config.models import LogTable
 from client_proxy.routing.weights import Weights
@@ -208,7 +208,7 @@
         control = Control(tmp_path / "c.sock", {"say": verbs})
         await control.start()
         mute = []
-        for _ in range(CALLERS):  # connect, and say nothing
+        for _ in range(MAX_CALLERS):  # connect, and say nothing
             mute.append(await asyncio.open_unix_connection(str(tmp_path / "c.sock")))
         reader, _ = await asyncio.open_unix_connection(str(tmp_path / "c.sock"))
         assert json.loads(await reader.readline())["why"] == "too many callers"
@@ -280,7 +280,7 @@
     root = logging.getLogger()
     before, level = list(root.handlers), root.level
     try:
-        set_up(LogTable(form="json", per_event_per_s=5), stream)
+        configure_logging(LogTable(form="json", per_event_per_s=5), stream)
         log = logging.getLogger("here")
         for number in range(1000):
             log.warning("it broke: %d", number)
@@ -297,7 +297,7 @@
 
 def test_what_was_left_out_is_told_with_the_next_line_and_events_have_a_bound() -> None:
     now = [0.0]
-    limit = Limit(2.0, lambda: now[0])
+    limit = EventRateLimit(2.0, lambda: now[0])
 
     def record(text: str) -> logging.LogRecord:
         return logging.LogRecord("n", logging.INFO, "f", 1, text, (), None)
@@ -309,7 +309,7 @@
     assert vars(last)["left_out"] == 3
     for number in range(5000):
         limit.filter(record(f"{number}"))
-    assert len(limit) == MOST_EVENTS
+    assert len(limit) == MAX_EVENTS
 
 
 # Weights
--- a/tests/cli/test_policy.py
+++ b/tests/cli/test_policy.py
@@ -79,16 +79,18 @@
             return {"ok": True, "change": "rack 7"}
         return {"ok": True, "agreement": {"changes": ended}}
 
-    monkeypatch.setattr(commands, "asked", ask)
+    monkeypatch.setattr(commands, "ask_instance", ask)
     words = ("policy", "propose", "s.sock", str(file), "--why", "rack 7", "--after", "4")
     code, said = call(*words)
     assert code == 1
     assert json.loads(said)["refused"] == {"4": "no such class"}
     assert asked[0].items() >= {"do": "propose", "file": str(file), "why": "rack 7", "after": 4}.items()
     ended[:] = [{"change": "rack 7", "what": "decided"}]
-    monkeypatch.setattr(commands, "asked", lambda s, q: {"change": "rack 7", "agreement": {"changes": ended}})
+    monkeypatch.setattr(
+        commands, "ask_instance", lambda s, q: {"change": "rack 7", "agreement": {"changes": ended}}
+    )
     assert call(*words)[0] == 0
-    monkeypatch.setattr(commands, "asked", lambda s, q: {"ok": True})
+    monkeypatch.setattr(commands, "ask_instance", lambda s, q: {"ok": True})
     assert call("policy", "status", "s.sock")[0] == 1
 
 
@@ -152,7 +154,7 @@
             }
         return {"change": "c", "agreement": {"changes": [{"change": "c", "what": "decided"}]}}
 
-    monkeypatch.setattr(commands, "asked", ask)
+    monkeypatch.setattr(commands, "ask_instance", ask)
     people = ("--who", "ann", "--why", "rack 7")
     assert call("policy", "back", "s", "3", *people)[0] == 0
     assert call("policy", "seat", "add", "s", "--member", "4", "--memory", "9", *people)[0] == 0
--- a/tests/compatibility/test_control_answers.py
+++ b/tests/compatibility/test_control_answers.py
@@ -82,8 +82,8 @@
         ended = {"change": "x", "what": "decided"}
         return {"ok": True, "change": "x", "versions": [], "agreement": {"changes": [ended], "rollout": None}}
 
-    monkeypatch.setattr(policy, "asked", asked)
-    monkeypatch.setattr(rollout, "asked", asked)
+    monkeypatch.setattr(policy, "ask_instance", asked)
+    monkeypatch.setattr(rollout, "ask_instance", asked)
     for words in COMMANDS:
         done = CliRunner().invoke(command.main, [str(file) if word == "FILE" else word for word in words])
         assert done.exit_code == 0, done.output
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 KNOWN_RED_FILE = ROOT / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 ENTRY = re.compile(
     r"(?P<test>[^\s:]+\.py::[^\s;]+); command: (?P<command>[^;]+); seed: (?P<seed>[^;]+); "
     r"seen: (?P<seen>.+); issue (?P<issue>\d+)"
@@ -40,8 +40,8 @@
         ValueError: a line is not in this form, its test does not exist, or there are too many.
     """
     lines = [line for line in text.splitlines() if line.strip()]
-    if len(lines) > MOST_KNOWN_RED:
-        raise ValueError(f"{KNOWN_RED_FILE.name}: {len(lines)} lines, {MOST_KNOWN_RED} at most may land")
+    if len(lines) > MAX_KNOWN_RED:
+        raise ValueError(f"{KNOWN_RED_FILE.name}: {len(lines)} lines, {MAX_KNOWN_RED} at most may land")
     return [_read_entry(line, root) for line in lines]
 
 
--- a/tests/emulator/test_burst_recovery.py
+++ b/tests/emulator/test_burst_recovery.py
@@ -25,9 +25,9 @@
 from client_proxy.emulator.scenario_reader import parse_scenario
 from client_proxy.emulator.simulation import simulate
 from client_proxy.limits.settings import OverloadSettings
-from client_proxy.operators import Operators
+from client_proxy.operators import OperatorSettings
 
-ON = Operators(overload=OverloadSettings())
+ON = OperatorSettings(overload=OverloadSettings())
 PROXIES, SERVERS, CORES = 32, 12, 4
 RATE_PER_S = 700.0
 BURST, AFTERWARDS = 1.3, 0.62
--- a/tests/emulator/test_gossip.py
+++ b/tests/emulator/test_gossip.py
@@ -8,10 +8,12 @@
 from client_proxy.emulator.simulation import SimulationResult, simulate
 from client_proxy.membership.node import GossipNode
 from client_proxy.membership.settings import GossipSettings, SwimSettings
-from client_proxy.operators import Operators
+from client_proxy.operators import OperatorSettings
 from tests.support.days import day, incident
 
-ON = Operators(gossip=GossipSettings(swim=SwimSettings(period_ms=500.0, timeout_ms=150.0, sync_ms=2000.0)))
+ON = OperatorSettings(
+    gossip=GossipSettings(swim=SwimSettings(period_ms=500.0, timeout_ms=150.0, sync_ms=2000.0))
+)
 
 
 def bad_day() -> Scenario:
--- a/tests/emulator/test_overload.py
+++ b/tests/emulator/test_overload.py
@@ -11,18 +11,18 @@
 from client_proxy.emulator.scenario_reader import load_scenario
 from client_proxy.emulator.simulation import simulate
 from client_proxy.limits.settings import OverloadSettings
-from client_proxy.operators import NOTHING, Operators
+from client_proxy.operators import NO_FEATURES, OperatorSettings
 from client_proxy.routing.settings import LocalitySettings
 
 DAYS = Path(__file__).parents[2] / "examples" / "days"
-ON = Operators(overload=OverloadSettings())
-BOTH = Operators(LocalitySettings(), OverloadSettings())
+ON = OperatorSettings(overload=OverloadSettings())
+BOTH = OperatorSettings(LocalitySettings(), OverloadSettings())
 ENTRY, EXTRACT = "entry-register", "extract-issue"
 
 
 @cache
 def played(name: str, operators: str = "on") -> Report:
-    given = {"on": ON, "off": NOTHING, "both": BOTH}[operators]
+    given = {"on": ON, "off": NO_FEATURES, "both": BOTH}[operators]
     result = simulate(load_scenario(DAYS / f"{name}.toml"), operators=given)
     of = build_report(result)
     assert not of.broken, of.breaches
--- a/tests/emulator/test_small_fleet_calm.py
+++ b/tests/emulator/test_small_fleet_calm.py
@@ -9,7 +9,7 @@
 from client_proxy.emulator.scenario_reader import load_scenario
 from client_proxy.emulator.simulation import simulate
 from client_proxy.limits.settings import OverloadSettings
-from client_proxy.operators import NOTHING, Operators
+from client_proxy.operators import NO_FEATURES, OperatorSettings
 
 DAY = Path(__file__).parents[2] / "examples" / "days" / "hall-lost-busy.toml"
 
@@ -21,8 +21,8 @@
         replace(kind, max_connections=25) for kind in day.server_types
     )  # a third of what is asked for
     day = replace(day, duration_s=25.0, faults=(), clients=clients, server_types=kinds)
-    stated = Operators(overload=OverloadSettings())
-    on, off = (build_report(simulate(day, operators=given)) for given in (stated, NOTHING))
+    stated = OperatorSettings(overload=OverloadSettings())
+    on, off = (build_report(simulate(day, operators=given)) for given in (stated, NO_FEATURES))
     assert not on.broken
     assert on.fates["turned away"] > 20
     assert on.served_share > off.served_share - 0.005
--- a/tests/emulator/test_zones.py
+++ b/tests/emulator/test_zones.py
@@ -12,7 +12,7 @@
 from client_proxy.emulator.proxy_settings import proxy_settings
 from client_proxy.emulator.report import Report, build_report
 from client_proxy.emulator.simulation import SimulationResult, simulate
-from client_proxy.operators import Operators
+from client_proxy.operators import OperatorSettings
 from client_proxy.routing.settings import LocalitySettings
 from tests.support.days import UNSAFE, day, incident, text
 
@@ -30,10 +30,12 @@
     for rack, hall in enumerate(("east", "middle", "west"))
 )
 CLIENTS = "proxies = 3\nrate_per_s = 150\nretries = 2\ntry_share = 0.6\nbackoff_ms = 100"
-ON = Operators(LocalitySettings(ramp_s=4.0))
+ON = OperatorSettings(LocalitySettings(ramp_s=4.0))
 
 
-def lost(incidents: str, length_s: float, operators: Operators = ON) -> tuple[SimulationResult, Report]:
+def lost(
+    incidents: str, length_s: float, operators: OperatorSettings = ON
+) -> tuple[SimulationResult, Report]:
     written = text(incidents, length_s, CLIENTS, KIND, SERVERS).replace(
         'halls = ["east", "west"]', 'halls = ["east", "middle", "west"]'
     )
@@ -72,7 +74,7 @@
     assert not of.broken
     assert of.served_share > 0.99
     assert crossings(result, 2.0, 6.0) < 0.15
-    without, _ = lost("", 6.0, Operators())
+    without, _ = lost("", 6.0, OperatorSettings())
     assert crossings(without, 2.0, 6.0) > 0.5
 
 
@@ -93,7 +95,7 @@
 
 
 def test_a_spill_limit_refuses_nothing_that_idle_servers_could_serve() -> None:
-    stated = Operators(LocalitySettings(spillover_share=0.01))
+    stated = OperatorSettings(LocalitySettings(spillover_share=0.01))
     result, of = lost(incident("vanish", 4.0, hall="west"), 16.0, stated)
     assert not of.broken
     # A hall of two servers with two cores bears 160 a second; three quarters of that are asked of two halls.
--- a/tests/limits/test_fleet_days.py
+++ b/tests/limits/test_fleet_days.py
@@ -14,17 +14,19 @@
 from client_proxy.limits.congestion import CongestionEstimate
 from client_proxy.limits.load_shedding import LoadShedding
 from client_proxy.limits.settings import OverloadSettings
-from client_proxy.operators import Operators
+from client_proxy.operators import OperatorSettings
 from tests.driver import SETTINGS, Driver, endpoint
 
 FIELDS = ("inflight", "queue", "latency_ms")
 BALANCER_SETTINGS = replace(SETTINGS, proxies=60, report_fields=FIELDS)
 FLEET = [endpoint(f"s{n}", zone="abc"[n % 3]) for n in range(24)]
-OVERLOAD_ON = Operators(overload=OverloadSettings())
+OVERLOAD_ON = OperatorSettings(overload=OverloadSettings())
 IDLE, OVERLOADED = (0.6, 0.0, 40.0), (20.0, 16.0, 400.0)
 
 
-def make_driver(endpoints: list[ListedEndpoint] | None = None, operators: Operators = OVERLOAD_ON) -> Driver:
+def make_driver(
+    endpoints: list[ListedEndpoint] | None = None, operators: OperatorSettings = OVERLOAD_ON
+) -> Driver:
     driver = Driver(BALANCER_SETTINGS, ())
     driver.balancer = Balancer(BALANCER_SETTINGS, 1, operators.balancer_hook(BALANCER_SETTINGS, 1))
     driver.tell(EndpointsListed(ListKind.FULL, tuple(FLEET if endpoints is None else endpoints)))
--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -23,7 +23,7 @@
 from client_proxy.limits.load_shedding import SUBSET_TARGET_SHARE, LoadShedding
 from client_proxy.limits.pacing import PacedConcurrency
 from client_proxy.limits.settings import OverloadSettings
-from client_proxy.operators import Operators, parse_operators
+from client_proxy.operators import OperatorSettings, parse_operators
 from client_proxy.routing.locality.router import LocalityRouter
 from client_proxy.routing.settings import LocalitySettings
 from client_proxy.toml_table import TomlError
@@ -35,7 +35,7 @@
 IDLE, CONGESTED = (2.0, 0.0, 40.0), (24.0, 20.0, 40.0)
 
 
-def make_driver(operators: Operators, balancer_settings: object = BALANCER_SETTINGS) -> Driver:
+def make_driver(operators: OperatorSettings, balancer_settings: object = BALANCER_SETTINGS) -> Driver:
     driver = Driver(balancer_settings, ())  # type: ignore[arg-type]
     driver.balancer = Balancer(balancer_settings, 1, operators.balancer_hook(balancer_settings, 1))  # type: ignore[arg-type]
     driver.tell(EndpointsListed(ListKind.FULL, FLEET))
@@ -44,7 +44,7 @@
     return driver
 
 
-OVERLOAD_ON = Operators(overload=OverloadSettings())
+OVERLOAD_ON = OperatorSettings(overload=OverloadSettings())
 
 
 def overload_hook(driver: Driver) -> LoadShedding:
@@ -72,7 +72,7 @@
 
 
 def test_under_congestion_low_priority_is_rejected_at_once_and_high_priority_served() -> None:
-    driver = make_driver(Operators(overload=OverloadSettings(growth=0.01, cut=0.01)))
+    driver = make_driver(OperatorSettings(overload=OverloadSettings(growth=0.01, cut=0.01)))
     for _ in range(100):
         for name in ("safe", "unsafe"):
             overload_hook(driver).admission.request_arrived(name, 10.0)
@@ -181,7 +181,7 @@
         BALANCER_SETTINGS,
         limits=replace(BALANCER_SETTINGS.limits, retry_after=True, max_retry_after_ms=600.0),
     )
-    stated = Operators(overload=OverloadSettings(retry_after_ms=(200.0, 700.0)))
+    stated = OperatorSettings(overload=OverloadSettings(retry_after_ms=(200.0, 700.0)))
     for balancer_settings, has_retry_after in ((BALANCER_SETTINGS, False), (allowed, True)):
         driver = make_driver(stated, balancer_settings)
         for number in range(50):
@@ -269,10 +269,12 @@
 
 
 def test_the_operators_file_selects_the_hooks() -> None:
-    assert Operators().balancer_hook(BALANCER_SETTINGS, 1) is None
+    assert OperatorSettings().balancer_hook(BALANCER_SETTINGS, 1) is None
     assert isinstance(OVERLOAD_ON.balancer_hook(BALANCER_SETTINGS, 1), LoadShedding)
-    assert isinstance(Operators(LocalitySettings()).balancer_hook(BALANCER_SETTINGS, 1), LocalityRouter)
-    both = Operators(LocalitySettings(), OverloadSettings()).balancer_hook(BALANCER_SETTINGS, 1)
+    assert isinstance(
+        OperatorSettings(LocalitySettings()).balancer_hook(BALANCER_SETTINGS, 1), LocalityRouter
+    )
+    both = OperatorSettings(LocalitySettings(), OverloadSettings()).balancer_hook(BALANCER_SETTINGS, 1)
     assert isinstance(both, CompositeHook)
     assert both.orders_zones
     assert both.limits_concurrency
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -21,7 +21,7 @@
 from client_proxy.membership.keys import Ed25519, format_keyring, issue_certificate, write_private_file
 from client_proxy.membership.settings import GossipSettings
 from client_proxy.membership.suspicions import DEPRIORITIZED_BELOW
-from client_proxy.operators import Operators, load_operators
+from client_proxy.operators import OperatorSettings, load_operators
 from client_proxy.proxy.config import Config
 from client_proxy.settings import read_settings
 from tests.membership.daemons import FAST, DaemonFleet, abort_connection
@@ -173,7 +173,7 @@
     assert process.returncode == 2
     assert "its mode is 0644" in process.stderr
     assert len(process.stderr.splitlines()) == 1
-    assert isinstance(load_operators(operators), Operators)
+    assert isinstance(load_operators(operators), OperatorSettings)
 
 
 def test_gossip_that_is_off_is_not_imported() -> None:
--- a/tests/outlier/test_ejection_hook.py
+++ b/tests/outlier/test_ejection_hook.py
@@ -10,7 +10,7 @@
 from client_proxy.api.events import AttemptEnded, EndpointsListed, EndpointState, ListKind, Outcome
 from client_proxy.api.policy_hook import BalancerHook, CompositeHook, PickContext
 from client_proxy.balancer.balancer import Balancer
-from client_proxy.operators import Operators, parse_operators
+from client_proxy.operators import OperatorSettings, parse_operators
 from client_proxy.outlier.ejection_hook import EjectionHook
 from client_proxy.outlier.settings import OutlierSettings
 from client_proxy.toml_table import TomlError
@@ -24,7 +24,7 @@
     settings = replace(BALANCER_SETTINGS, ordinal=ordinal)
     driver = Driver(settings, (), seed)
     driver.balancer = Balancer(
-        settings, seed, Operators(reach=outlier_settings).balancer_hook(settings, seed)
+        settings, seed, OperatorSettings(reach=outlier_settings).balancer_hook(settings, seed)
     )
     driver.tell(EndpointsListed(ListKind.FULL, tuple(FLEET)))
     return driver
--- a/tests/proxy/test_before_the_write.py
+++ b/tests/proxy/test_before_the_write.py
@@ -13,7 +13,7 @@
 import pytest
 
 from client_proxy.api.events import Event, Outcome, RequestArrived, TimerFired
-from client_proxy.clock import driven
+from client_proxy.clock import use_clock
 from client_proxy.proxy.dialling import open_socket
 from client_proxy.proxy.upstream_attempt import AttemptResult
 from client_proxy.proxy.upstream_connection import UpstreamConnection
@@ -85,7 +85,7 @@
             assert len(hosts[0].received) + len(hosts[1].received) == 1 + repeated
             client.close()
 
-    with driven(lambda: time.monotonic() + ahead_s, time.time):
+    with use_clock(lambda: time.monotonic() + ahead_s, time.time):
         run(test())
 
 
@@ -236,5 +236,5 @@
             assert int(host.received[0].headers["x-expires-in-ms"]) <= 2000
             client.close()
 
-    with driven(lambda: time.monotonic() + ahead_s, time.time):
+    with use_clock(lambda: time.monotonic() + ahead_s, time.time):
         run(test())
--- a/tests/proxy/test_dials.py
+++ b/tests/proxy/test_dials.py
@@ -49,5 +49,5 @@
         assert [each.outcome for each in ended] == [Outcome.CANCELLED]
         assert upstream.open_connections == network.open_by(loop) == 0
 
-    with clock.driven(scheduler.time, scheduler.time):
+    with clock.use_clock(scheduler.time, scheduler.time):
         scheduler.run(loop, main(), 10.0)
--- a/tests/proxy/test_generations.py
+++ b/tests/proxy/test_generations.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any
 
-from client_proxy.operators import NOTHING, Operators, parse_operators
+from client_proxy.operators import NO_FEATURES, OperatorSettings, parse_operators
 from client_proxy.proxy.client_connection import UNKNOWN_CLASS
 from client_proxy.proxy.config import Config
 from client_proxy.proxy.daemon import MAX_RETIRED_ENGINES, ConnectionQuota, Daemon
@@ -48,7 +48,7 @@
     return {"index": index, "snapshot": True, "endpoints": [entry(host) for host in hosts]}
 
 
-def adopt(daemon: Daemon, *hosts: Host, operators: Operators = NOTHING, **bounds: Any) -> None:
+def adopt(daemon: Daemon, *hosts: Host, operators: OperatorSettings = NO_FEATURES, **bounds: Any) -> None:
     daemon.adopt(
         read_settings(settings_json(**bounds) | {"discovery": "automatic", "zone": "a"}),
         operators,
@@ -226,7 +226,7 @@
         port = await daemon.start()
         client = await Client.connect(port)
         for number in range(1000):
-            adopt(daemon, hosts[number % 3], operators=ALL_ON if number % 3 else NOTHING)
+            adopt(daemon, hosts[number % 3], operators=ALL_ON if number % 3 else NO_FEATURES)
             if number % 50 == 0:
                 assert (await client.ask(KEYED_CLASS, key=str(number)))[2] == f"from h{number % 3}".encode()
         assert not daemon.retired
--- a/tests/proxy/test_stall.py
+++ b/tests/proxy/test_stall.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from client_proxy.clock import driven
+from client_proxy.clock import use_clock
 from client_proxy.proxy.listener import REQUEST_TIMEOUT_MS
 from client_proxy.proxy.stall_detector import HEARTBEAT_S, STALL_S, TOLERATED_LATENESS_S, StallDetector
 from tests.proxy.sockets import UNSAFE_CLASS, Client, Host, proxy, run, until
@@ -90,7 +90,7 @@
         assert detector.recovering() == (stop_s > STALL_S + HEARTBEAT_S)
         detector.stop()
 
-    with driven(clock.read_s, time.time):
+    with use_clock(clock.read_s, time.time):
         run(test())
 
 
@@ -113,7 +113,7 @@
         clock.now_s += 5.0
         assert detector.stalled_since_ms() is None
 
-    with driven(clock.read_s, time.time):
+    with use_clock(clock.read_s, time.time):
         run(test())
 
 
@@ -137,5 +137,5 @@
             assert not answer.startswith(b"HTTP/1.1 408"), answer
             client.close()
 
-    with driven(clock.read_s, time.time):
+    with use_clock(clock.read_s, time.time):
         run(test())
--- a/tests/proxy/test_time_told.py
+++ b/tests/proxy/test_time_told.py
@@ -16,7 +16,7 @@
 import pytest
 
 from client_proxy.api.events import TimerFired
-from client_proxy.clock import driven
+from client_proxy.clock import use_clock
 from client_proxy.proxy.client_connection import MAX_PIPELINED_REQUESTS, ClientConnection
 from tests.proxy.sockets import (
     KEYED_CLASS,
@@ -58,7 +58,7 @@
 @contextmanager
 def advanced_clock() -> Iterator[AdvancedClock]:
     clock_ahead = AdvancedClock()
-    with driven(clock_ahead.now_s, time.time):
+    with use_clock(clock_ahead.now_s, time.time):
         yield clock_ahead
 
 
--- a/tests/proxy/test_told_in_time.py
+++ b/tests/proxy/test_told_in_time.py
@@ -13,7 +13,7 @@
 
 from client_proxy.api.events import EndpointState
 from client_proxy.balancer.balancer import MAX_RESUBSCRIBE_MS
-from client_proxy.clock import driven
+from client_proxy.clock import use_clock
 from client_proxy.emulator.network import MemoryNetwork
 from client_proxy.emulator.virtual import Scheduler, VirtualLoop
 from client_proxy.endpoint_directory import EndpointDirectory
@@ -116,7 +116,7 @@
 ) -> float:
     """Return the time from the recovery of the service until the change is known."""
     scheduler = Scheduler()
-    with driven(scheduler.time, scheduler.time):
+    with use_clock(scheduler.time, scheduler.time):
         world = scheduler.new_loop("world")
         network = MemoryNetwork(world)
         service = Service(world, network, failure)
@@ -203,7 +203,7 @@
 def move_delay_s(failure: str, balancer_subscribes: bool, away_s: float, seed: int) -> float:
     """Return the time from a move, `away_s` after the old service failed, until the new list is known."""
     scheduler = Scheduler()
-    with driven(scheduler.time, scheduler.time):
+    with use_clock(scheduler.time, scheduler.time):
         world = scheduler.new_loop("world")
         network = MemoryNetwork(world)
         Service(world, network, failure)
--- a/tests/proxy/test_whole_lists.py
+++ b/tests/proxy/test_whole_lists.py
@@ -10,7 +10,7 @@
 import pytest
 
 from client_proxy.api.events import EndpointState
-from client_proxy.clock import driven
+from client_proxy.clock import use_clock
 from tests.proxy.sockets import (
     KEYED_CLASS,
     UNSAFE_CLASS,
@@ -129,7 +129,7 @@
             assert len(removed.received) == (not late_ms)
             client.close()
 
-    with driven(lambda: time.monotonic() + ahead_s, time.time):
+    with use_clock(lambda: time.monotonic() + ahead_s, time.time):
         run(test())
 
 
--- a/tests/routing/test_idle_timeout.py
+++ b/tests/routing/test_idle_timeout.py
@@ -20,7 +20,7 @@
 from client_proxy.emulator.scenario_reader import load_scenario
 from client_proxy.emulator.simulation import SimulationResult, simulate
 from client_proxy.emulator.virtual import Scheduler
-from client_proxy.operators import NOTHING, Operators, parse_operators
+from client_proxy.operators import NO_FEATURES, OperatorSettings, parse_operators
 from client_proxy.proxy.messages import ClientRequest
 from client_proxy.proxy.upstream_attempt import AttemptResult
 from client_proxy.proxy.upstream_pool import UpstreamPool
@@ -157,7 +157,7 @@
             await asyncio.sleep(apart_s)
         return [each.outcome for each in ended], len(accepted), upstream.open_connections
 
-    with clock.driven(scheduler.time, scheduler.time):
+    with clock.use_clock(scheduler.time, scheduler.time):
         return scheduler.run(loop, main(), 600.0)
 
 
@@ -238,7 +238,7 @@
         "[connections]\nrest_s = 2\nmost = 30\nopens_per_s = 5\n", "own.toml"
     ).connections
     assert connection_settings == ConnectionSettings(2.0, 30, 5.0)
-    assert NOTHING.connections is None
+    assert NO_FEATURES.connections is None
 
 
 def calm_scenario(
@@ -259,7 +259,9 @@
 
 def test_many_instances_with_little_load_leave_connections_to_each_other() -> None:
     scenario = calm_scenario(120, 20)
-    with_timeout = simulate(scenario, operators=Operators(connections=ConnectionSettings(idle_timeout_s=2.0)))
+    with_timeout = simulate(
+        scenario, operators=OperatorSettings(connections=ConnectionSettings(idle_timeout_s=2.0))
+    )
     without_timeout = simulate(scenario)
     assert build_report(without_timeout).served_share < 0.97  # without the timeout the scenario has the fault
     report = build_report(with_timeout)
@@ -272,7 +274,7 @@
 def test_instances_shorten_a_stated_timeout_that_is_too_long() -> None:
     scenario = calm_scenario(120, 20, length_s=50.0)
     with_timeout = simulate(
-        scenario, operators=Operators(connections=ConnectionSettings(idle_timeout_s=600.0))
+        scenario, operators=OperatorSettings(connections=ConnectionSettings(idle_timeout_s=600.0))
     )
     without_timeout = simulate(scenario)
     report, report_without = build_report(with_timeout), build_report(without_timeout)
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -22,7 +22,7 @@
 from client_proxy.api.policy_hook import PickContext
 from client_proxy.api.settings import IdempotencyScope, Settings
 from client_proxy.balancer.balancer import Balancer
-from client_proxy.operators import Operators, parse_operators
+from client_proxy.operators import OperatorSettings, parse_operators
 from client_proxy.routing.locality.capacity import MIN_CAPACITY_PER_S
 from client_proxy.routing.locality.peak_rate import CAPACITY_HALF_LIFE_MS
 from client_proxy.routing.locality.router import MAX_EMPTY_ZONES, LocalityRouter
@@ -581,8 +581,8 @@
         0.1,
         1.2,
     )
-    assert parse_operators("", "x") == Operators(None)
-    assert parse_operators("[halls]\n", "x") == Operators(LocalitySettings())
+    assert parse_operators("", "x") == OperatorSettings(None)
+    assert parse_operators("[halls]\n", "x") == OperatorSettings(LocalitySettings())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -15,7 +15,7 @@
 from client_proxy.adapter import serve
 from client_proxy.api.settings import AttemptLimit, Limits, Objective, Prices, Reports, Tenant
 from client_proxy.balancer.balancer import Balancer
-from client_proxy.operators import Operators, parse_operators
+from client_proxy.operators import OperatorSettings, parse_operators
 from client_proxy.settings import read_settings
 
 Json = dict[str, Any]
@@ -227,7 +227,7 @@
         lines.append(batch(2 + n, 20.0 + n, "proxy_0", request(n)))
     operators = parse_operators("[halls]\n", "o.toml")
 
-    def hosts(given: Operators) -> list[str]:
+    def hosts(given: OperatorSettings) -> list[str]:
         out = io.StringIO()
         assert serve([line + "\n" for line in lines], out, io.StringIO(), given) == 0
         cmds = [
@@ -236,7 +236,7 @@
         return [c["try"]["host"] for c in cmds if "try" in c]
 
     assert {host[0] for host in hosts(operators)} == {"b"}
-    assert {host[0] for host in hosts(Operators())} == {"a", "b"}
+    assert {host[0] for host in hosts(OperatorSettings())} == {"a", "b"}
     bad = tmp_path / "bad.toml"
     bad.write_text("[halls]\npanic = 2\n")
     done = subprocess.run(
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.conftest import MOST_KNOWN_RED, ROOT, known_red, read_known_red
+from tests.conftest import MAX_KNOWN_RED, ROOT, known_red, read_known_red
 
 TEST = "tests/test_known_red.py::test_an_entry_is_read"
 COMMAND, SEED, SEEN, ISSUE = "command: pytest tests", "seed: 7", "seen: it fails; always", "issue 45"
@@ -34,6 +34,6 @@
 
 
 def test_a_list_that_is_too_long_is_refused() -> None:
-    text = "\n".join(["; ".join((TEST, COMMAND, SEED, SEEN, ISSUE))] * (MOST_KNOWN_RED + 1))
+    text = "\n".join(["; ".join((TEST, COMMAND, SEED, SEEN, ISSUE))] * (MAX_KNOWN_RED + 1))
     with pytest.raises(ValueError, match="3 at most may land"):
         read_known_red(text)
