--- a/client_proxy/adapter.py
+++ b/client_proxy/adapter.py
@@ -1,8 +1,9 @@
-"""Adapter: hosts many balancers behind the simulator's wire. It decides nothing.
+"""Adapter: runs the balancers of many simulated instances and translates the simulator's protocol.
 
-Reads one batch a line from standard input, writes one reply a line. An unreadable line ends it with
-one line on standard error and exit code 1; a crash of a balancer is reported there and on the wire, and
-ends it too. `--operators FILE` gives the balancers the advice that the daemon's have with the same file.
+It reads one batch of events per line from standard input and writes one reply per line. It makes no decisions
+of its own. An unreadable line ends the process with one line on standard error and exit code 1. A crash of a
+balancer is reported on standard error and in the reply, and ends the process too. `--operators FILE` enables
+the same features in the balancers as in a daemon that is started with this file.
 """
 
 from __future__ import annotations
@@ -64,18 +65,18 @@
     "restored": ListKind.RESTORED,
     "unavailable": ListKind.FAILED,
 }
-HINT_VALID, REPEAT = 1, 2
+WORK_HINT_VALID_FLAG, CLIENT_RETRY_FLAG = 1, 2
 
 
 class WireError(ValueError):
-    """A line that is not what the wire allows."""
+    """An input line violates the simulator's protocol."""
 
 
 # Events
 
 
 def read_endpoint(entry: Json) -> ListedEndpoint:
-    """The entry of an endpoint list."""
+    """Reads one entry of an endpoint list."""
     return ListedEndpoint(
         name=entry["host"],
         zone=entry.get("locality", ""),
@@ -87,20 +88,20 @@
 
 
 def read_report(fields: Json) -> tuple[float, ...] | None:
-    """The load report of an answer, if there is one."""
+    """Returns the load report of a response; None: it carries none."""
     return tuple(fields["stats"]) if fields.get("stats") else None
 
 
-def whole(fields: Json, name: str) -> int:
-    """A whole number of a message."""
+def read_integer(fields: Json, name: str) -> int:
+    """Returns the integer under a key of a message. Raises WireError for another type."""
     value = fields[name]
     if not isinstance(value, int):
         raise WireError(f"{name} is not a whole number: {value!r}")
     return value
 
 
-def number(fields: Json, name: str) -> float:
-    """A number of a message."""
+def read_number(fields: Json, name: str) -> float:
+    """Returns the number under a key of a message. Raises WireError for another type."""
     value = fields[name]
     if not isinstance(value, int | float):
         raise WireError(f"{name} is not a number: {value!r}")
@@ -108,23 +109,23 @@
 
 
 def read_request(fields: Json) -> RequestArrived:
-    """The arrival of a request."""
+    """Reads the arrival of a request."""
     flags = fields.get("flags", 0)
     return RequestArrived(
-        request_id=whole(fields, "handle"),
+        request_id=read_integer(fields, "handle"),
         class_name=fields.get("priority", ""),
-        deadline_ms=number(fields, "give_up_at_ms"),
+        deadline_ms=read_number(fields, "give_up_at_ms"),
         tenant=fields.get("org") or None,
         key=fields.get("resource"),
-        work_hint_ms=fields.get("effort_ms") if flags & HINT_VALID else None,
-        client_retry=bool(flags & REPEAT),
+        work_hint_ms=fields.get("effort_ms") if flags & WORK_HINT_VALID_FLAG else None,
+        client_retry=bool(flags & CLIENT_RETRY_FLAG),
     )
 
 
 def read_outcome(fields: Json) -> AttemptEnded:
-    """The end of an attempt."""
+    """Reads the result of an attempt."""
     return AttemptEnded(
-        request_id=whole(fields, "handle"),
+        request_id=read_integer(fields, "handle"),
         attempt=fields.get("n", 0),
         outcome=OUTCOMES[fields["verdict"]],
         latency_ms=fields.get("delay_seen_ms", 0.0),
@@ -134,12 +135,12 @@
 
 
 def read_stream(fields: Json) -> StreamStarted:
-    """The begin of a streamed answer."""
-    return StreamStarted(whole(fields, "handle"), fields.get("n", 0), fields.get("delay_seen_ms", 0.0))
+    """Reads the start of a streamed response."""
+    return StreamStarted(read_integer(fields, "handle"), fields.get("n", 0), fields.get("delay_seen_ms", 0.0))
 
 
 def read_probe(fields: Json) -> ProbeEnded:
-    """The end of a load probe."""
+    """Reads the result of a load probe."""
     latency_ms = fields.get("delay_seen_ms", 0.0)
     return ProbeEnded(fields["host"], OUTCOMES[fields["verdict"]], latency_ms, read_report(fields))
 
@@ -147,9 +148,9 @@
 EVENTS: dict[str, Callable[[Json], Event]] = {
     "new_request": read_request,
     "resolved": read_outcome,
-    "timeout_fired": lambda fields: TimerFired(whole(fields, "cookie")),
+    "timeout_fired": lambda fields: TimerFired(read_integer(fields, "cookie")),
     "head_received": read_stream,
-    "left": lambda fields: ClientDisconnected(whole(fields, "handle")),
+    "left": lambda fields: ClientDisconnected(read_integer(fields, "handle")),
     "health_result": read_probe,
 }
 
@@ -158,7 +159,7 @@
 
 
 def write_action(action: Action) -> Json:
-    """An action in the simulator's form."""
+    """Returns an action as a message of the simulator's protocol."""
     match action:
         case Send():
             host, wait_ms = action.endpoint, action.timeout_ms
@@ -181,50 +182,59 @@
             return {"remark": {"message": action.text}}
 
 
-# Reading a batch
+# Reading batches
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
-    """A new life of an instance."""
+class StartInstance:
+    """An instance starts, with a new balancer."""
 
     settings: Settings
     seed: int
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
-    """The end of a life: killed outright."""
+class KillInstance:
+    """An instance is killed without a shutdown."""
 
 
-Step = Begin | Stop | Event
+Step = StartInstance | KillInstance | Event
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """One line of input, checked."""
+    """One validated line of input.
+
+    Attributes:
+        number: Number of the batch; the reply repeats it.
+        now_ms: Time of the events in ms of the simulator's clock.
+        groups: Name and events of each instance.
+    """
 
     number: int
     now_ms: float
     groups: list[tuple[str, list[Step]]]
 
 
-class Reader:
-    """Turns lines into batches. Keeps the lists of servers that the wire sends once for all instances."""
+class BatchReader:
+    """Parses lines into batches.
+
+    Keeps the endpoint lists: the simulator registers each list once, and the instances refer to it by number.
+    """
 
     def __init__(self, err: TextIO) -> None:
         self._lists: dict[int, tuple[ListedEndpoint, ...]] = {}
-        self._unknown_named: list[str] = []
+        self._reported_unknown_kinds: list[str] = []
         self._err = err
 
     def read(self, line: str) -> Batch:
-        """Raises WireError, saying what is wrong, for a line that is no batch."""
+        """Parses a line. Raises WireError, with the reason, if it is not a valid batch."""
         try:
             batch = json.loads(line)
             if not isinstance(batch, dict):
                 raise WireError("not an object")
-            groups = [(group["who"], self._steps(group["news"])) for group in batch["groups"]]
-            return Batch(batch["n"], number(batch, "ts_ms"), groups)
+            groups = [(group["who"], self._read_steps(group["news"])) for group in batch["groups"]]
+            return Batch(batch["n"], read_number(batch, "ts_ms"), groups)
         except json.JSONDecodeError as error:
             raise WireError(f"not JSON: {error}") from error
         except KeyError as error:
@@ -232,33 +242,33 @@
         except (TypeError, ValueError) as error:
             raise WireError(str(error)) from error
 
-    def _steps(self, news: list[Json]) -> list[Step]:
+    def _read_steps(self, messages: list[Json]) -> list[Step]:
         steps: list[Step] = []
-        for message in news:
+        for message in messages:
             if not isinstance(message, dict) or len(message) != 1:
                 raise WireError("an event is not an object with one key")
             ((kind, fields),) = message.items()
             if not isinstance(fields, dict):
                 raise WireError(f"the fields of {kind!r} are not an object")
-            step = self._step(kind, fields)
+            step = self._read_step(kind, fields)
             if step is not None:
                 steps.append(step)
         return steps
 
-    def _step(self, kind: str, fields: Json) -> Step | None:
+    def _read_step(self, kind: str, fields: Json) -> Step | None:
         if kind in EVENTS:
             return EVENTS[kind](fields)
         if kind == "begin":
-            return Begin(read_settings(fields["facts"]), fields["seed"])
+            return StartInstance(read_settings(fields["facts"]), fields["seed"])
         if kind == "power_off":
-            return Stop()
+            return KillInstance()
         if kind == "sync":
             scope = LIST_KINDS[fields["scope"]]
             return EndpointsListed(scope, () if scope is ListKind.FAILED else self._lists[fields["list"]])
         if kind == "register":
             self._lists[fields["list"]] = tuple(read_endpoint(e) for e in fields["members"])
-        elif kind != "peer" and kind not in self._unknown_named:
-            self._unknown_named.append(kind)
+        elif kind != "peer" and kind not in self._reported_unknown_kinds:
+            self._reported_unknown_kinds.append(kind)
             print(f"adapter: unknown event {kind!r} ignored", file=self._err)
         return None
 
@@ -266,25 +276,31 @@
 # Hosting
 
 
-class Host:
-    """The instances of one process; they share nothing."""
+class BalancerHost:
+    """The balancers of all instances of this process; they share no state."""
 
     def __init__(self, operators: OperatorSettings = NO_FEATURES) -> None:
         self._balancers: dict[str, Balancer] = {}
         self._operators = operators
 
-    def play(self, who: str, now_ms: float, steps: list[Step]) -> list[Json]:
-        """One instance's part of a batch. What a life killed within it would have done is void."""
+    def handle_steps(self, who: str, now_ms: float, steps: list[Step]) -> list[Json]:
+        """Handles one instance's events of a batch and returns its actions as messages.
+
+        Events before a start or a kill of the instance within the batch are discarded, with their actions.
+
+        Raises:
+            WireError: The instance has not been started.
+        """
         events: list[Event] = []
         for step in steps:
-            if isinstance(step, Begin | Stop):
+            if isinstance(step, StartInstance | KillInstance):
                 events.clear()
                 self._balancers.pop(who, None)
-                if isinstance(step, Begin):
-                    advisor = self._operators.balancer_hook(step.settings, step.seed)
-                    self._balancers[who] = Balancer(step.settings, step.seed, advisor)
+                if isinstance(step, StartInstance):
+                    hook = self._operators.balancer_hook(step.settings, step.seed)
+                    self._balancers[who] = Balancer(step.settings, step.seed, hook)
             elif who not in self._balancers:
-                raise WireError(f"event for {who!r}, which has not begun")
+                raise WireError(f"event for {who!r}, which has not been started")
             else:
                 events.append(step)
         if not events:
@@ -292,35 +308,35 @@
         return [write_action(action) for action in self._balancers[who].handle(now_ms, events)]
 
 
-def wire_name(error: Exception) -> str:
-    """Returns the name that the wire gives to a crash; a misuse of the balancer is a `ValueError` there."""
+def protocol_error_name(error: Exception) -> str:
+    """Returns the error's name in the simulator's protocol; misuse of the balancer is `ValueError` there."""
     return "ValueError" if isinstance(error, BalancerError) else type(error).__name__
 
 
-def play_batch(host: Host, batch: Batch, err: TextIO) -> tuple[list[Json], bool]:
-    """The reply's groups, and whether an instance's decisions crashed; nothing is played after that."""
+def handle_batch(host: BalancerHost, batch: Batch, err: TextIO) -> tuple[list[Json], bool]:
+    """Returns the reply's groups and whether a balancer crashed; events after a crash are not handled."""
     groups: list[Json] = []
     for who, steps in batch.groups:
         try:
-            cmds = host.play(who, batch.now_ms, steps)
+            cmds = host.handle_steps(who, batch.now_ms, steps)
         except WireError:
             raise
-        except Exception as error:  # reported with its text, here and on the wire; then the end
+        except Exception as error:  # reported on standard error and to the simulator; the process then ends
             traceback.print_exc(file=err)
-            fault = {"give_in": {"message": f"{wire_name(error)}: {error}"}}
-            return [*groups, {"who": who, "cmds": [fault]}], True
+            crash = {"give_in": {"message": f"{protocol_error_name(error)}: {error}"}}
+            return [*groups, {"who": who, "cmds": [crash]}], True
         if cmds:
             groups.append({"who": who, "cmds": cmds})
     return groups, False
 
 
 def serve(lines: Iterable[str], out: TextIO, err: TextIO, operators: OperatorSettings = NO_FEATURES) -> int:
-    """Answer every line until input ends; the exit code."""
-    reader, host = Reader(err), Host(operators)
+    """Answers every line until the input ends. Returns the exit code of the process."""
+    reader, host = BatchReader(err), BalancerHost(operators)
     for line in lines:
         try:
             batch = reader.read(line)
-            groups, crashed = play_batch(host, batch, err)
+            groups, crashed = handle_batch(host, batch, err)
         except WireError as error:
             print(f"adapter: unreadable line: {error}", file=err)
             return 1
@@ -332,9 +348,11 @@
 
 
 def main() -> int:
-    """Serve the simulator on standard input and output."""
+    """Serves the simulator on standard input and output. Returns the exit code."""
     parser = argparse.ArgumentParser(prog="python -m client_proxy.adapter", description=__doc__)
-    parser.add_argument("--operators", metavar="FILE", help="the operators' TOML file; none: no advice")
+    parser.add_argument(
+        "--operators", metavar="FILE", help="TOML file of optional features; without it all are off"
+    )
     args = parser.parse_args()
     try:
         operators = load_operators(args.operators) if args.operators else NO_FEATURES
--- a/client_proxy/address.py
+++ b/client_proxy/address.py
@@ -1,4 +1,4 @@
-"""Addresses of sockets, as configurations, endpoint lists and operators' files state them."""
+"""Parses socket addresses of configurations, endpoint lists and operators' files."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class AddressError(ValueError):
-    """Not an address that can be used; the text says why, on one line."""
+    """The text is not a valid address; the message gives the reason on one line."""
 
 
-def read_address(text: str, what: str = "") -> Address:
-    """Read an address of the form `IP:port`, IPv6 in brackets. There is no DNS.
+def read_address(text: str, error_prefix: str = "") -> Address:
+    """Parses an address of the form `IP:port`, IPv6 in brackets. Host names are not resolved.
 
     Args:
         text: The address.
-        what: Begins the text of an error.
+        error_prefix: Prefix of the error message.
 
     Raises:
-        AddressError: It is not an address.
+        AddressError: The text is not of this form, or the port is out of range.
     """
     host, _, port = text.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
@@ -30,7 +30,7 @@
         ipaddress.ip_address(host)
         number = int(port)
     except ValueError:
-        raise AddressError(f"{what}not an address of the form IP:port: {abbreviated(text)}") from None
+        raise AddressError(f"{error_prefix}not an address of the form IP:port: {abbreviated(text)}") from None
     if not 0 <= number < 65536:
-        raise AddressError(f"{what}port out of range: {abbreviated(text)}")
+        raise AddressError(f"{error_prefix}port out of range: {abbreviated(text)}")
     return host, number
--- a/client_proxy/clock.py
+++ b/client_proxy/clock.py
@@ -1,6 +1,6 @@
-"""The one clock of the daemon: monotonic milliseconds, and what Unix time they stand for.
+"""The daemon's clock: monotonic time in milliseconds, and its offset to Unix time.
 
-Another source can be put in its place, so that the whole daemon runs on a clock that does not wait.
+The time sources can be replaced, so that the emulator runs the whole daemon on virtual time.
 """
 
 from __future__ import annotations
@@ -14,26 +14,30 @@
 
 
 def now_ms() -> float:
-    """Return monotonic milliseconds, finer than the event loop's own clock."""
+    """Returns the monotonic time in ms, at a finer resolution than the event loop's clock."""
     return _monotonic_s() * 1000.0
 
 
 def unix_offset_ms() -> float:
-    """Return what to add to `now_ms` for Unix time in milliseconds, as it stands now."""
+    """Returns the current difference between Unix time and `now_ms`, in ms."""
     return _unix_s() * 1000.0 - now_ms()
 
 
 @contextmanager
 def use_clock(monotonic_s: Callable[[], float], unix_s: Callable[[], float]) -> Iterator[None]:
-    """Let the clock read these sources (seconds) inside the block, for the whole process.
+    """Replaces the clock's time sources, for the whole process, inside the `with` block.
 
-    Events with one clock's time would be compared with timers of another's, so all daemons of the process and
-    their event loops must go by the same source.
+    All daemons of the process and their event loops must use the same sources: otherwise times of events and
+    of timers, which are compared, would come from different clocks.
+
+    Args:
+        monotonic_s: Returns the monotonic time in seconds.
+        unix_s: Returns the Unix time in seconds.
     """
     global _monotonic_s, _unix_s
-    before = _monotonic_s, _unix_s
+    previous = _monotonic_s, _unix_s
     _monotonic_s, _unix_s = monotonic_s, unix_s
     try:
         yield
     finally:
-        _monotonic_s, _unix_s = before
+        _monotonic_s, _unix_s = previous
--- a/client_proxy/endpoint_directory.py
+++ b/client_proxy/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery sent it last, in the balancer's terms, and where each endpoint listens."""
+"""The current endpoint list of discovery as the balancer's types, with the address of each endpoint."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class EndpointDirectory:
-    """The endpoint list.
+    """The endpoint list, updated by the messages of discovery.
 
     Attributes:
-        entries: The endpoints, by name, as the balancer knows them.
-        addresses: Where each of them listens.
-        index: Discovery's index of the last message; None: the complete list is needed.
+        entries: The endpoints, by name.
+        addresses: The address of each endpoint, by name.
+        index: Discovery's index of the last message; None: the complete list is needed next.
     """
 
     def __init__(self, predecessor: EndpointDirectory | None = None) -> None:
-        """Make an empty list. `predecessor`: the list whose clock it goes on with."""
-        # Fixed once: the balancer takes another start time for a restart of the endpoint.
+        """Makes an empty list. `predecessor`: a list whose clock offset to Unix time is kept."""
+        # Determined once: the balancer treats a changed start time as a restart of the endpoint.
         self._unix_offset_ms: float = unix_offset_ms() if predecessor is None else predecessor._unix_offset_ms
         self.entries: dict[str, ListedEndpoint] = {}
         self.addresses: dict[str, Address] = {}
@@ -36,17 +36,17 @@
         return any(entry.state is EndpointState.READY for entry in self.entries.values())
 
     def apply(self, message: Json, restored: bool = False) -> EndpointsListed:
-        """Take in a message of discovery, completely or not at all.
+        """Applies a message of discovery, completely or not at all.
 
         Args:
             message: The message.
-            restored: It is the list as last known before a restart.
+            restored: The message is the last known list of before a restart, not a current one.
 
         Returns:
-            What the message changes, for the balancer.
+            The change as an event for the balancer.
 
         Raises:
-            ValueError: It is no list of endpoints; nothing of it has been taken in.
+            ValueError: The message is not a list of endpoints; nothing has changed.
         """
         try:
             entries = [
@@ -74,13 +74,13 @@
         since_ms = float(raw.get("since_ms") or 0)
         weight = float(raw.get("weight", 1.0))
         if not isfinite(since_ms) or not 0 <= weight < float("inf"):
-            raise ValueError(f"a weight or start time that is none: {weight}, {since_ms}")
+            raise ValueError(f"weight or since_ms is not a valid number: {weight}, {since_ms}")
         return ListedEndpoint(
             name=str(raw["name"]),
             zone=str(raw.get("zone", "")),
             cell=int(raw.get("group", 0)),
             weight=weight,
-            # A status that later versions add: whatever it means, the endpoint is not ready.
+            # An unknown status, which a later version may add, counts as not ready.
             state=STATES.get(raw.get("status", "ready"), EndpointState.DRAINING),
             started_ms=since_ms - self._unix_offset_ms if since_ms else None,
         )
--- a/client_proxy/operators.py
+++ b/client_proxy/operators.py
@@ -1,4 +1,4 @@
-"""The operators' TOML file: one table a feature, and the balancer's hook that the features make together."""
+"""Reads the operators' TOML file, one table per feature, and builds the balancer hook of these features."""
 
 from __future__ import annotations
 
@@ -25,7 +25,15 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """What operators state. A feature whose table is not in the file is off."""
+    """Settings of the optional features. A feature is off (None) if its table is not in the file.
+
+    Attributes:
+        halls: Preference for endpoints of the own zone, with spillover to others.
+        overload: Load shedding.
+        gossip: Gossip between the proxies.
+        connections: Idle timeout of connections and rate of new ones.
+        reach: Outlier ejection.
+    """
 
     halls: LocalitySettings | None = None
     overload: OverloadSettings | None = None
@@ -35,7 +43,7 @@
 
     @property
     def has_hook(self) -> bool:
-        """Whether any feature gives the balancer a hook."""
+        """Whether any enabled feature adds a balancer hook."""
         return any(feature is not None for feature in (self.halls, self.overload, self.reach))
 
     def balancer_hook(
@@ -45,29 +53,32 @@
         persistent_hooks: Sequence[BalancerHook] = (),
         predecessor: BalancerHook | None = None,
     ) -> BalancerHook | None:
-        """Return a new hook for one balancer; None: nothing is stated.
+        """Returns a new hook for one balancer; None: there are no hooks.
 
-        Admission comes before locality: a request that is not admitted needs no endpoint.
+        Load shedding comes before locality: a request that is not admitted needs no endpoint.
 
         Args:
             settings: Settings of the balancer.
-            seed: Seed of random numbers.
-            persistent_hooks: Hooks that outlive balancers; they come last.
-            predecessor: The hook by an earlier policy, whose learning goes along.
+            seed: Seed of the random numbers.
+            persistent_hooks: Hooks that outlive the balancer; they come last.
+            predecessor: The hook of the previous policy version; new hooks inherit the state of its hooks of
+                the same type.
         """
         hooks: list[BalancerHook] = []
-        reach = EjectionHook(self.reach, settings, seed) if self.reach is not None else None
+        ejection = EjectionHook(self.reach, settings, seed) if self.reach is not None else None
         if self.overload is not None:
-            hooks.append(LoadShedding(self.overload, settings, seed, reach.ejected if reach else frozenset()))
+            hooks.append(
+                LoadShedding(self.overload, settings, seed, ejection.ejected if ejection else frozenset())
+            )
         if self.halls is not None:
             hooks.append(LocalityRouter(self.halls, settings))
-        if reach is not None:
-            hooks.append(reach)
-        former_hooks = member_hooks(predecessor) if predecessor is not None else ()
+        if ejection is not None:
+            hooks.append(ejection)
+        previous_hooks = member_hooks(predecessor) if predecessor is not None else ()
         for hook in hooks:
-            for former in former_hooks:
-                if type(former) is type(hook):
-                    hook.inherit_from(former)
+            for previous in previous_hooks:
+                if type(previous) is type(hook):
+                    hook.inherit_from(previous)
         hooks += persistent_hooks
         if len(hooks) == 1:
             return hooks[0]
@@ -77,11 +88,11 @@
 NO_FEATURES = OperatorSettings()
 
 
-FEATURES = ("halls", "overload", "connections", "reach")  # that a policy can state for the whole fleet
+FEATURES = ("halls", "overload", "connections", "reach")  # features that a fleet-wide policy can set
 
 
 def read_features(top: Table) -> OperatorSettings:
-    """Read the features that a policy can state. Faults are collected by the file."""
+    """Reads the features that a policy can set. The file collects the faults."""
     return OperatorSettings(
         halls=read_locality(top.table("halls")) if top.has("halls") else None,
         overload=read_overload(top.table("overload")) if top.has("overload") else None,
@@ -91,17 +102,17 @@
 
 
 def parse_operators(text: str, name: str) -> OperatorSettings:
-    """Read an operators' file. Raises TomlError with one line for each fault."""
+    """Reads the text of an operators' file. Raises TomlError with one line per fault."""
     file = File(text, name)
     top = file.top()
     operators = read_features(top)
     gossip: GossipSettings | None = None
     if top.has("gossip"):
-        # Checked here: found out by each of 300 simulated daemons, it would fill the screen 300 times.
-        lacks = missing_packages_message("[gossip]", "gossip", "cryptography")
-        if lacks:
-            raise TomlError(f"{name}: {lacks}")
-        # Imported here: a daemon without the table starts without the package.
+        # Checked here once: otherwise each of 300 simulated daemons would report it.
+        message = missing_packages_message("[gossip]", "gossip", "cryptography")
+        if message:
+            raise TomlError(f"{name}: {message}")
+        # Imported here so that a daemon without this table runs without the package.
         from client_proxy.membership.settings import parse_gossip_settings
 
         gossip = parse_gossip_settings(top.table("gossip"))
@@ -111,5 +122,5 @@
 
 
 def load_operators(path: str | Path) -> OperatorSettings:
-    """Read the operators' file at a path. Raises TomlError."""
+    """Reads the operators' file at a path. Raises TomlError."""
     return parse_operators(read_text(path), str(path))
--- a/client_proxy/optional_dependencies.py
+++ b/client_proxy/optional_dependencies.py
@@ -1,4 +1,4 @@
-"""Optional dependencies: which are not installed, and one line for the person who has to install them."""
+"""Finds optional dependencies that are not installed, and says in one line how to install them."""
 
 from __future__ import annotations
 
@@ -6,31 +6,37 @@
 from importlib.util import find_spec
 
 
-def missing(*modules: str) -> list[str]:
-    """Return the modules that can't be imported here. None of them is imported to find out."""
+def missing_modules(*modules: str) -> list[str]:
+    """Returns those of the modules that are not installed, without importing any."""
 
-    def installed(name: str) -> bool:
+    def is_installed(name: str) -> bool:
         try:
             return find_spec(name) is not None
         except (ImportError, ValueError):
             return False
 
-    return [name for name in modules if not installed(name)]
+    return [name for name in modules if not is_installed(name)]
 
 
 def missing_packages_message(part: str, extra: str, *modules: str) -> str:
-    """Return the line for a person: what lacks and what to install; "": nothing lacks."""
-    missing_modules = missing(*modules)
-    if not missing_modules:
+    """Returns one line that names the missing packages and the extra to install; "" if none is missing.
+
+    Args:
+        part: What needs the modules, as the message names it.
+        extra: The extra of this project that installs them.
+        modules: The modules that are needed.
+    """
+    not_installed = missing_modules(*modules)
+    if not not_installed:
         return ""
-    names = ", ".join(missing_modules)
+    names = ", ".join(not_installed)
     return f"{part} needs the extra `{extra}` (pip install .[{extra}]); not installed: {names}"
 
 
 def require(part: str, extra: str, *modules: str) -> None:
-    """End the program with that line and exit code 2, if something lacks.
+    """Ends the program with a message on standard error and exit code 2 if a module is not installed.
 
-    For commands, before they import it.
+    A command calls it before it imports the modules. The arguments are those of `missing_packages_message`.
     """
     message = missing_packages_message(part, extra, *modules)
     if message:
--- a/client_proxy/process_signals.py
+++ b/client_proxy/process_signals.py
@@ -1,11 +1,12 @@
-"""The signals of a serving process, handled without a gap from its first line to its last.
+"""Signal handlers of a serving process, active from its first line of code to its last.
 
-The default action of SIGHUP, SIGINT and SIGTERM ends a process at once, with every request it has. An event
-loop's own handlers leave two gaps in which that is still the action: until the loop runs, and from its close
-on (asyncio and uvloop put the default back; a mask of the main thread's does not hold for other threads). So
-the handlers here belong to the process, and the loop is only told.
+The default action of SIGHUP, SIGINT and SIGTERM ends a process at once, and all its pending requests fail. An
+event loop's own signal handlers leave that default in place during two periods: until the loop runs, and
+after it closes (asyncio and uvloop restore the default; a signal mask of the main thread does not apply to
+other threads). The handlers of this module therefore belong to the process and only notify the loop.
 
-Nothing but `signal` is imported, so that a program can install the handlers before its other imports.
+The module imports only `signal` at run time, so that a program can install the handlers before its other
+imports.
 """
 
 from __future__ import annotations
@@ -17,14 +18,14 @@
 TERMINATION_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 Schedule = Callable[[Callable[[], object]], object]
-"""Runs a callback soon, as `loop.call_soon_threadsafe` does."""
+"""Schedules a callback, as `loop.call_soon_threadsafe` does."""
 
 
 class ProcessSignals:
-    """SIGTERM and SIGINT ask for a graceful shutdown, SIGHUP for a reload.
+    """Signal handlers: SIGTERM and SIGINT request a graceful shutdown, SIGHUP a reload.
 
     Attributes:
-        termination_requested: SIGTERM or SIGINT has come.
+        termination_requested: SIGTERM or SIGINT has been received.
     """
 
     def __init__(self) -> None:
@@ -35,20 +36,20 @@
         self._on_reload: Callable[[], object] | None = None
 
     def install(self) -> None:
-        """Handle the signals from now on. Called in the main thread."""
+        """Installs the handlers. Must be called in the main thread."""
         signal.signal(signal.SIGHUP, self._reload)
         for number in TERMINATION_SIGNALS:
-            # Who starts a process in the background has it ignore the keyboard (POSIX, 2.11).
+            # A shell starts background processes with SIGINT ignored (POSIX shell, section 2.11); that stays.
             if number != signal.SIGINT or signal.getsignal(number) is not signal.SIG_IGN:
                 signal.signal(number, self._terminate)
 
     def attach(
         self, schedule: Schedule, on_terminate: Callable[[], object], on_reload: Callable[[], object]
     ) -> None:
-        """Tell an event loop of the signals, and of those that have come before.
+        """Connects the signals to an event loop, including those that were received before.
 
         Args:
-            schedule: Runs a callback in the loop, and wakes it up.
+            schedule: Schedules a callback in the loop from a signal handler, and wakes the loop up.
             on_terminate: Called for each SIGTERM and SIGINT.
             on_reload: Called for each SIGHUP.
         """
@@ -59,7 +60,7 @@
             schedule(on_terminate)
 
     def ignore(self) -> None:
-        """Ignore the signals from now on. Called once all is answered, before the loop closes."""
+        """Ignores the signals from now on. Called after the last response, before the event loop closes."""
         for number in (signal.SIGHUP, *TERMINATION_SIGNALS):
             signal.signal(number, signal.SIG_IGN)
 
@@ -75,4 +76,4 @@
 
 
 PROCESS_SIGNALS = ProcessSignals()
-"""Those of this process."""
+"""The signal handlers of this process."""
--- a/client_proxy/settings.py
+++ b/client_proxy/settings.py
@@ -1,6 +1,6 @@
-"""Reads the settings, as the simulator's first message and the proxy's configuration both carry them.
+"""Reads the balancer's settings from JSON, as in the simulator's first message and the proxy's configuration.
 
-The names of the wire are mapped to those of `client_proxy.api.settings` here, and nowhere else.
+Only this module maps the JSON keys to the field names of `client_proxy.api.settings`.
 """
 
 from __future__ import annotations
@@ -35,22 +35,22 @@
 
 
 def present(facts: JsonObject, read: Callable[[str], Any], **names: str) -> Json:
-    """Return the values that are present, under our names in place of the wire's."""
+    """Returns the values that are present, by field name; `names` maps field names to JSON keys."""
     return {name: read(key) for name, key in names.items() if key in facts}
 
 
-def not_negative(facts: JsonObject) -> Callable[[str], float]:
-    """Return a reader of numbers from 0 on."""
+def non_negative(facts: JsonObject) -> Callable[[str], float]:
+    """Returns a reader of numbers that are at least 0."""
     return lambda key: facts.number(key, 0.0)
 
 
 def positive(facts: JsonObject) -> Callable[[str], float]:
-    """Return a reader of numbers above 0."""
+    """Returns a reader of numbers that are greater than 0."""
     return lambda key: facts.number(key, above=0.0)
 
 
 def read_class(facts: JsonObject) -> RequestClass:
-    """Read a request class."""
+    """Reads a request class."""
     return RequestClass(
         name=facts.text("name"),
         latency_objective_ms=facts.number("aim_ms", above=0.0),
@@ -59,7 +59,7 @@
         idempotency_scope=facts.one_of("group", SCOPES) if "group" in facts else IdempotencyScope.ALL,
         **present(
             facts,
-            not_negative(facts),
+            non_negative(facts),
             priority_weight="worth",
             latency_objective_stretch="aim_stretch",
             idempotency_window_ms="window_ms",
@@ -70,7 +70,7 @@
 
 
 def read_limits(facts: JsonObject) -> Limits:
-    """Read the limits on attempts, connections and time."""
+    """Reads the limits on attempts, connections and time."""
     return Limits(
         max_attempts=facts.count("max_attempts", 1),
         **present(
@@ -80,7 +80,7 @@
         **present(facts, positive(facts), connect_timeout_ms="connect_timeout_ms"),
         **present(
             facts,
-            not_negative(facts),
+            non_negative(facts),
             max_retry_after_ms="max_retry_after_ms",
             connection_idle_timeout_ms="conn_idle_ms",
             cpu_us_per_s="cpu_us_per_s",
@@ -92,15 +92,15 @@
 
 
 def read_attempt_limit(safety: JsonObject) -> AttemptLimit | None:
-    """Read the limit on attempts beside requests; None: there is none."""
+    """Reads the limit on retries relative to requests; None: there is none."""
     if "resend_span_ms" not in safety:
         return None
-    figures = present(safety, not_negative(safety), share="resend_ratio", free="free_resends")
+    figures = present(safety, non_negative(safety), share="resend_ratio", free="free_resends")
     return AttemptLimit(safety.number("resend_span_ms", above=0.0), **{"share": 0.0, **figures})
 
 
 def read_safety(facts: JsonObject) -> Safety:
-    """Read the rules of slow start, draining and keys."""
+    """Reads the rules of slow start, draining and idempotency keys."""
     return Safety(
         slow_start_share=facts.number("cold_share", above=0.0) and facts.share("cold_share"),
         slow_start_ms=facts.number("cold_ms", 0.0),
@@ -110,7 +110,7 @@
         **present(facts, positive(facts), max_poll_interval_ms="must_ask_in_ms"),
         **present(
             facts,
-            not_negative(facts),
+            non_negative(facts),
             answer_grace_ms="grace_to_answer_ms",
             drain_grace_ms="drain_grace_ms",
             key_quiet_ms="key_rest_ms",
@@ -119,10 +119,10 @@
 
 
 def read_prices(facts: JsonObject) -> Prices:
-    """Read what each kind of waste costs."""
+    """Reads the cost of each kind of overhead."""
     figures = present(
         facts,
-        not_negative(facts),
+        non_negative(facts),
         cross_zone="cross_zone",
         probe="probe",
         waste="waste",
@@ -135,10 +135,10 @@
 
 
 def read_objective(facts: JsonObject) -> Objective:
-    """Read how outcomes are weighed."""
+    """Reads the weights of the objective function."""
     figures = present(
         facts,
-        not_negative(facts),
+        non_negative(facts),
         overall="whole",
         worst_window="worst_window",
         worst_class="worst_class",
@@ -151,9 +151,9 @@
 
 
 def read_settings(raw: object) -> Settings:
-    """Read the settings; keys that are not known are passed over.
+    """Reads the settings; unknown keys are ignored.
 
-    Raises JsonValueError (a ValueError), with the value's place, for what can't be used.
+    Raises JsonValueError (a ValueError), with the path of the value, if a value is missing or invalid.
     """
     facts = JsonObject(raw, "settings")
     reporting, family = facts.optional_object("reporting"), facts.optional_object("family_info")
@@ -173,6 +173,6 @@
         tenants=tuple(Tenant(tenant.text("name"), tenant.number("quota_per_s", 0.0)) for tenant in tenants),
         **present(facts, facts.text, zone="zone"),
         **present(facts, facts.count, ordinal="ordinal"),
-        **present(facts, not_negative(facts), min_step_ms="step_ms"),
+        **present(facts, non_negative(facts), min_step_ms="step_ms"),
         **present(facts, facts.share, over_quota_weight_share="over_share_worth"),
     )
--- a/client_proxy/toml_table.py
+++ b/client_proxy/toml_table.py
@@ -1,7 +1,7 @@
-"""TOML files of operators: checked completely, every fault named with its line and key.
+"""Reads TOML files and validates them completely; each fault is reported with its line and key.
 
-The standard parser gives values without their line_numbers, so the place of a fault is looked up in the text
-afterwards, by its table and key. Inline tables and dotted keys are found by the line that begins them.
+The standard parser returns values without line numbers. The line of a fault is therefore looked up in the
+text by table and key. For inline tables and dotted keys that is the line on which they begin.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 class TomlError(ValueError):
-    """The file is not usable. The text is one line a fault: file, line, key, and what is wrong."""
+    """The file is invalid. The message has one line per fault: file, line, key and what is wrong."""
 
 
 def line_numbers(text: str) -> dict[tuple[str, int, str], int]:
-    """Return line numbers (from 1) by table name, number of that table (from 0) and key.
+    """Returns line numbers (from 1) by table name, index of the table in its array (from 0) and key.
 
-    The key of a table's header is "".
+    The line of a table's header has the key "".
     """
     found: dict[tuple[str, int, str], int] = {("", 0, ""): 1}
     seen: dict[str, int] = {}
@@ -41,7 +41,13 @@
 
 
 class File:
-    """A file that is being read: it collects faults, and raises them together at the end."""
+    """A TOML file that is being validated; it collects the faults and raises them together at the end.
+
+    Attributes:
+        name: Name of the file in messages.
+        faults: Line and message of each fault.
+        raw: The parsed content.
+    """
 
     def __init__(self, text: str, name: str) -> None:
         self.name = name
@@ -53,27 +59,32 @@
             raise TomlError(f"{name}: {error}") from None
 
     def fault(self, table: str, number: int, key: str, what: str) -> None:
-        """Record a fault at a key of a table."""
-        where = f"{table}.{key}" if table and key else table or key
+        """Records a fault at a key of a table; `number` is its index in an array of tables."""
+        full_key = f"{table}.{key}" if table and key else table or key
         found = self._line_numbers.get
-        line = found((table, number, key)) or found((where, 0, "")) or found((table, number, "")) or 1
-        self.faults.append((line, f"{self.name}:{line}: {where}: {what}"))
+        line = found((table, number, key)) or found((full_key, 0, "")) or found((table, number, "")) or 1
+        self.faults.append((line, f"{self.name}:{line}: {full_key}: {what}"))
 
     def top(self) -> Table:
-        """Return the table at the top of the file."""
+        """Returns the top-level table of the file."""
         return Table(self, "", 0, self.raw)
 
     def raise_faults(self) -> None:
-        """Raise TomlError if any fault was found."""
+        """Raises TomlError with all recorded faults, if there are any."""
         if self.faults:
             raise TomlError("\n".join(text for _, text in sorted(self.faults)))
 
 
 class Table:
-    """One table of a `File`: values are taken by key and checked; what is left at the end is unknown.
+    """One table of a `File`. Values are taken out by key and validated; keys that remain are unknown.
+
+    Each method that takes a value records a fault with the file if the value is invalid, or if it is missing
+    and has no default. It then returns the default or an empty value.
 
-    Each method that takes a value records a fault with the file if the value is missing, without a default,
-    or not as stated, and returns the default or an empty value then.
+    Attributes:
+        file: The file that collects the faults.
+        name: Name of the table.
+        number: Index of the table in its array of tables; 0: it is not in an array.
     """
 
     def __init__(self, file: File, name: str, number: int, raw: dict[str, Any]) -> None:
@@ -81,131 +92,134 @@
         self._raw = dict(raw)
 
     def fault(self, key: str, what: str) -> None:
-        """Record a fault at a key."""
+        """Records a fault at a key of this table."""
         self.file.fault(self.name, self.number, key, what)
 
     def has(self, key: str) -> bool:
-        """Whether there is a value under a key."""
+        """Returns whether the table has a key that was not taken yet."""
         return key in self._raw
 
-    def _take(self, key: str, default: Any, kind: str, fits: Check) -> Any:
+    def _take(self, key: str, default: Any, expected: str, is_valid: Check) -> Any:
         if key not in self._raw:
             if default is ...:
-                self.fault(key, f"missing: {kind} is needed")
+                self.fault(key, f"missing: {expected} is needed")
                 return None
             return default
         value = self._raw.pop(key)
-        if not fits(value):
-            self.fault(key, f"{value!r} is not {kind}")
+        if not is_valid(value):
+            self.fault(key, f"{value!r} is not {expected}")
             return None if default is ... else default
         return value
 
     def number_(self, key: str, default: Any = ..., least: float = 0.0, most: float = float("inf")) -> float:
-        """Take a number."""
+        """Takes a number from `least` to `most`."""
 
-        def fits(value: Any) -> bool:
-            # NaN fails both comparisons; true and false are whole numbers to Python.
+        def is_valid(value: Any) -> bool:
+            # NaN fails both comparisons; booleans are integers in Python and are excluded.
             return isinstance(value, int | float) and not isinstance(value, bool) and least <= value <= most
 
-        bound = f"a number from {least:g}" + (f" to {most:g}" if most < float("inf") else " on")
-        value = self._take(key, default, bound, fits)
+        expected_range = f"a number from {least:g}" + (f" to {most:g}" if most < float("inf") else " on")
+        value = self._take(key, default, expected_range, is_valid)
         return float(value) if value is not None else least
 
     def whole(self, key: str, default: Any = ..., least: int = 0, most: int = 2**53) -> int:
-        """Take a whole number."""
+        """Takes an integer from `least` to `most`."""
 
-        def fits(value: Any) -> bool:
+        def is_valid(value: Any) -> bool:
             return isinstance(value, int) and not isinstance(value, bool) and least <= value <= most
 
-        value = self._take(key, default, f"a whole number from {least} to {most}", fits)
+        value = self._take(key, default, f"a whole number from {least} to {most}", is_valid)
         return int(value) if value is not None else least
 
     def text(self, key: str, default: Any = ..., among: tuple[str, ...] = ()) -> str:
-        """Take a text, one of `among` if that is given."""
+        """Takes a string, which must be one of `among` if that is given."""
 
-        def fits(value: Any) -> bool:
+        def is_valid(value: Any) -> bool:
             return isinstance(value, str) and (not among or value in among)
 
-        value = self._take(key, default, "one of " + ", ".join(among) if among else "a text", fits)
+        value = self._take(key, default, "one of " + ", ".join(among) if among else "a string", is_valid)
         return str(value) if value is not None else ""
 
     def flag(self, key: str, default: Any = ...) -> bool:
-        """Take a boolean."""
+        """Takes a boolean."""
         return bool(self._take(key, default, "true or false", lambda v: isinstance(v, bool)))
 
     def texts(self, key: str, default: Any = ...) -> tuple[str, ...]:
-        """Take a list of texts."""
+        """Takes a list of strings."""
 
-        def fits(value: Any) -> bool:
+        def is_valid(value: Any) -> bool:
             return isinstance(value, list) and all(isinstance(v, str) for v in value)
 
-        return tuple(self._take(key, default, "a list of texts", fits) or ())
+        return tuple(self._take(key, default, "a list of strings", is_valid) or ())
 
     def numbers(self, key: str, default: Any = ..., length: int | None = None) -> tuple[float, ...]:
-        """Take a list of numbers, of a given length if there is one."""
+        """Takes a list of numbers, of exactly `length` elements if that is given."""
 
-        def fits(value: Any) -> bool:
+        def is_valid(value: Any) -> bool:
             return (
                 isinstance(value, list)
                 and (length is None or len(value) == length)
                 and all(isinstance(v, int | float) and not isinstance(v, bool) and v == v for v in value)
             )
 
-        kind = "a list of numbers" if length is None else f"a list of {length} numbers"
-        return tuple(float(v) for v in self._take(key, default, kind, fits) or ())
+        expected = "a list of numbers" if length is None else f"a list of {length} numbers"
+        return tuple(float(v) for v in self._take(key, default, expected, is_valid) or ())
 
     def points(self, key: str, default: Any = ...) -> tuple[tuple[float, float], ...]:
-        """Take a list of pairs of numbers."""
+        """Takes a list of pairs of numbers."""
 
-        def fits(value: Any) -> bool:
+        def is_valid(value: Any) -> bool:
             return isinstance(value, list) and all(
                 isinstance(p, list) and len(p) == 2 and all(isinstance(v, int | float) for v in p)
                 for p in value
             )
 
-        taken = self._take(key, default, "a list of pairs of numbers", fits) or ()
-        return tuple((float(a), float(b)) for a, b in taken)
+        pairs = self._take(key, default, "a list of pairs of numbers", is_valid) or ()
+        return tuple((float(a), float(b)) for a, b in pairs)
 
     def table(self, key: str) -> Table:
-        """Take a table that may be left out, with all of its defaults."""
+        """Takes a table; an absent one counts as empty, so that all its defaults apply."""
         raw = self._take(key, {}, "a table", lambda v: isinstance(v, dict)) or {}
         return Table(self.file, f"{self.name}.{key}" if self.name else key, 0, raw)
 
     def remaining_keys(self) -> tuple[str, ...]:
-        """Return the keys that are left, for tables whose keys are names of the operators' choosing."""
+        """Returns the keys that were not taken, for tables whose keys are user-defined names."""
         return tuple(self._raw)
 
     def lists(self, key: str) -> tuple[tuple[str, ...], ...]:
-        """Take a list of lists of texts, none of them empty."""
+        """Takes a list of lists of strings, none of which may be empty."""
 
-        def fits(value: Any) -> bool:
+        def is_valid(value: Any) -> bool:
             return (
                 isinstance(value, list)
                 and bool(value)
                 and all(isinstance(v, list) and v and all(isinstance(x, str) for x in v) for v in value)
             )
 
-        return tuple(tuple(each) for each in self._take(key, ..., "a list of lists of texts", fits) or ())
+        return tuple(
+            tuple(each)
+            for each in self._take(key, ..., "a list of non-empty lists of strings", is_valid) or ()
+        )
 
     def tables(self, key: str, least: int = 0) -> list[Table]:
-        """Take a list of tables, at least so many."""
+        """Takes an array of at least `least` tables."""
 
-        def fits(value: Any) -> bool:
+        def is_valid(value: Any) -> bool:
             return isinstance(value, list) and all(isinstance(v, dict) for v in value)
 
-        raw = self._take(key, [], f"a list of tables [[{key}]]", fits) or []
+        raw = self._take(key, [], f"a list of tables [[{key}]]", is_valid) or []
         if len(raw) < least:
             self.fault(key, f"at least {least} [[{key}]] is needed")
         return [Table(self.file, key, number, each) for number, each in enumerate(raw)]
 
     def reject_unknown_keys(self) -> None:
-        """Record a fault for each key that is left."""
+        """Records a fault for each key that was not taken."""
         for key in self._raw:
             self.fault(key, "not a known key")
 
 
 def read_text(path: str | Path) -> str:
-    """Return the text of a file. Raises TomlError, on one line, if it can't be read."""
+    """Returns the text of a file. Raises TomlError with one line if the file can't be read."""
     try:
         return Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
