--- a/client_proxy/cli/__init__.py
+++ b/client_proxy/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The one command, and what it needs beside the daemon: the control socket and the log."""
+"""The command line: an instance that runs from its own file, its control socket and log, and the commands."""
--- a/client_proxy/cli/__main__.py
+++ b/client_proxy/cli/__main__.py
@@ -1,6 +1,7 @@
 """The entry point of `client-proxy` and `python -m client_proxy.cli`.
 
-A serving instance handles its signals before the commands are imported, which takes longer than the rest.
+`serve` installs its signal handlers before it imports the commands, because their import takes longest and
+a signal during it would end the process by the default action.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 def main(program: str = "client-proxy") -> None:
-    """Run the command. `program`: the name under which it tells of itself."""
+    """Runs the command. `program`: the program name in its messages."""
     if sys.argv[1:2] == [SERVE_COMMAND]:
         PROCESS_SIGNALS.install()
     from client_proxy.cli.commands import main as command
--- a/client_proxy/cli/asking.py
+++ b/client_proxy/cli/asking.py
@@ -1,4 +1,4 @@
-"""A question to a running instance's control socket, from a command."""
+"""Sends the questions of commands to the control socket of a running instance."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def ask_instance(socket: Path, question: dict[str, Any]) -> dict[str, Any]:
-    """Its answer. A refusal ends the command with its reason."""
+    """Returns the instance's answer to a question. Raises ClickException, with the reason, if it refuses."""
     from client_proxy.cli.control import ask
 
     try:
-        said = ask(socket, question)
+        answer = ask(socket, question)
     except ValueError as error:
         raise click.ClickException(f"{socket}: {error}") from None
-    if not said.get("ok"):
-        raise click.ClickException(str(said.get("why", "no")))
-    return said
+    if not answer.get("ok"):
+        raise click.ClickException(str(answer.get("why", "no")))
+    return answer
--- a/client_proxy/cli/control.py
+++ b/client_proxy/cli/control.py
@@ -1,8 +1,8 @@
-"""The control socket of a running instance: a Unix socket, a line of JSON each way.
+"""The control socket of a running instance: a Unix socket with one line of JSON in each direction per call.
 
-Whoever may write to the socket's file may ask; its mode is 0600, in a folder of the operators' choosing.
-Bounds: so many callers at a time, so many bytes a question, so many seconds for all of a call. A caller that
-sends noise gets an answer that says so, one that says nothing or reads nothing is closed.
+Access is controlled by file permissions: the socket has mode 0600, in a folder that the operators choose.
+The number of callers at a time, the size of a question and the duration of a call are limited. A caller that
+sends an invalid question gets an error as answer. One that sends or reads nothing is disconnected.
 """
 
 from __future__ import annotations
@@ -22,33 +22,37 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CALLERS = 16
+MAX_CALLERS = 16  # connections at a time
 MAX_QUESTION_BYTES = 4096
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
-CALL_TIMEOUT_S = 5.0
+CALL_TIMEOUT_S = 5.0  # from the connection to the written answer
 
 Json = dict[str, Any]
-Verb = Callable[[Json], Json]
+CommandHandler = Callable[[Json], Json]
 
 
-class Control:
+class ControlSocket:
     """Answers `{"do": VERB, ...}` with `{"ok": true, ...}` or `{"ok": false, "why": ...}`."""
 
-    def __init__(self, path: Path, verbs: dict[str, Verb]) -> None:
-        self._path, self._verbs = path, verbs
+    def __init__(self, path: Path, handlers: dict[str, CommandHandler]) -> None:
+        self._path, self._handlers = path, handlers
         self._server: asyncio.Server | None = None
         self._callers = 0
 
     async def start(self) -> None:
-        """Listen. Raises OSError if the path can't be had; a socket that nobody listens on is replaced."""
+        """Starts to listen. A socket that nobody listens on, as a crash leaves it, is replaced.
+
+        Raises:
+            OSError: Another instance listens there, or the path is not a socket, or can't be bound.
+        """
         self._remove_stale_socket()
-        before = os.umask(0o177)
+        previous_umask = os.umask(0o177)
         try:
             self._server = await asyncio.start_unix_server(
                 self._serve_caller, str(self._path), limit=MAX_QUESTION_BYTES
             )
         finally:
-            os.umask(before)
+            os.umask(previous_umask)
 
     def _remove_stale_socket(self) -> None:
         try:
@@ -56,7 +60,7 @@
         except FileNotFoundError:
             return
         if not stat.S_ISSOCK(mode):
-            raise OSError(f"{self._path}: there is something else than a socket")
+            raise OSError(f"{self._path}: the path is something else than a socket")
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
             try:
                 probe.connect(str(self._path))
@@ -66,7 +70,7 @@
         raise OSError(f"{self._path}: another instance listens there")
 
     def close(self) -> None:
-        """Listen no more, and remove the socket."""
+        """Stops listening and removes the socket."""
         if self._server is not None:
             self._server.close()
             with contextlib.suppress(FileNotFoundError):
@@ -100,38 +104,41 @@
         writer.write(json.dumps(answer).encode() + b"\n")
 
     def answer(self, line: bytes) -> Json:
-        """Return the answer to one question. Nothing is raised."""
+        """Returns the answer to one question; errors are part of the answer, none is raised."""
         try:
             question = json.loads(line)
             verb = question["do"] if isinstance(question, dict) else None
         except (ValueError, KeyError, RecursionError):
             verb = None
-        if not isinstance(verb, str) or verb not in self._verbs:
-            return {"ok": False, "why": f'not a question; {{"do": one of {sorted(self._verbs)}}}'}
+        if not isinstance(verb, str) or verb not in self._handlers:
+            return {"ok": False, "why": f'not a question; {{"do": one of {sorted(self._handlers)}}}'}
         try:
-            return {"ok": True, **self._verbs[verb](question)}
+            return {"ok": True, **self._handlers[verb](question)}
         except CommandError as error:
             return {"ok": False, "why": str(error)}
-        except Exception:  # a fault of one command must not end the instance
-            log.exception("the control socket: %s", verb)
+        except Exception:  # a bug in one command must not end the instance
+            log.exception("control socket: the command %s failed", verb)
             return {"ok": False, "why": "it failed here; the log says how"}
 
 
 def ask(path: Path, question: Json) -> Json:
-    """Ask a running instance.
+    """Sends a question to the instance that listens at `path` and returns its answer.
 
-    Raises OSError if nobody answers, ControlAnswerError (a ValueError) for what is no answer.
+    Raises:
+        OSError: The instance can't be reached, or does not answer in time.
+        ControlAnswerError: The answer is too long, or is not a JSON object (a ValueError).
+        ValueError: The answer is not JSON.
     """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(CALL_TIMEOUT_S)
         sock.connect(str(path))
         sock.sendall(json.dumps(question).encode() + b"\n")
         received = bytearray()
-        while not received.endswith(b"\n") and (part := sock.recv(65536)):
-            received += part
+        while not received.endswith(b"\n") and (chunk := sock.recv(65536)):
+            received += chunk
             if len(received) > MAX_ANSWER_BYTES:
-                raise ControlAnswerError("the answer is too long")
+                raise ControlAnswerError(f"the answer has more than {MAX_ANSWER_BYTES} bytes")
     answer = json.loads(bytes(received))
     if not isinstance(answer, dict):
-        raise ControlAnswerError("the answer is none")
+        raise ControlAnswerError("the answer is not a JSON object")
     return answer
--- a/client_proxy/cli/control_commands.py
+++ b/client_proxy/cli/control_commands.py
@@ -1,4 +1,4 @@
-"""What the control socket of a running instance answers. Its keys are part of its protocol, and stay."""
+"""The commands of the control socket. The keys of questions and answers are a protocol and must stay."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from client_proxy.cli.control import Json, Verb
+from client_proxy.cli.control import CommandHandler, Json
 from client_proxy.cli.errors import CommandError
 from client_proxy.config.models import parse
 from client_proxy.config.source import FileSource
@@ -17,11 +17,11 @@
     from client_proxy.consensus.policy_source import ConsensusPolicySource
 
 ROLLOUT_ORDERS = ("pause", "go-on", "back")
-SHOWN_CHANGES = 8
+SHOWN_CHANGES = 8  # latest changes of the list of servers in the status
 
 
-def _requester(question: Json) -> dict[str, str]:
-    """Return who wants a change, and why."""
+def _read_requester(question: Json) -> dict[str, str]:
+    """Returns who requests a change and why, as arguments for the policy source."""
     return {
         "requester": str(question.get("who", "")),
         "reason": str(question.get("why", "")),
@@ -29,30 +29,34 @@
 
 
 class ControlCommands:
-    """Carries out the commands of one instance's control socket."""
+    """Executes the commands of one instance's control socket."""
 
     def __init__(
-        self, name: str, daemon: Daemon, source: FileSource | None, agreed: ConsensusPolicySource | None
+        self,
+        name: str,
+        daemon: Daemon,
+        source: FileSource | None,
+        consensus_source: ConsensusPolicySource | None,
     ) -> None:
-        """Make the commands.
+        """Makes the commands.
 
         Args:
             name: The instance's name.
-            daemon: The daemon that runs.
-            source: What lists its servers; None: a discovery service does.
-            agreed: The same, where the fleet agrees on the policy.
+            daemon: The running daemon.
+            source: The source of the list of servers; None: a discovery service is used.
+            consensus_source: The same source if the fleet agrees on its policy by consensus, else None.
         """
         self._name = name
         self._daemon = daemon
         self._source = source
-        self._agreed = agreed
+        self._consensus_source = consensus_source
         self._started_s = time.monotonic()
 
-    def verbs(self) -> dict[str, Verb]:
-        """Return the commands by the verbs of their questions."""
+    def command_handlers(self) -> dict[str, CommandHandler]:
+        """Returns the handlers of the commands by their verb, the `do` of a question."""
         return {
-            "status": self._status, "force": self._force, "propose": self._propose, "back": self._back,
-            "withdraw": self._withdraw, "seat": self._seat, "history": self._history,
+            "status": self._status, "force": self._force, "propose": self._propose, "back": self._roll_back,
+            "withdraw": self._withdraw, "seat": self._change_seat, "history": self._history,
             "rollout": self._rollout,
         }  # fmt: skip
 
@@ -89,42 +93,42 @@
                 "held_back": watcher.held_back.digest if watcher.held_back else None,
                 "changes": self._source.changes[-SHOWN_CHANGES:],
             }
-        if self._agreed is not None:
-            answer["agreement"] = self._agreed.status()
+        if self._consensus_source is not None:
+            answer["agreement"] = self._consensus_source.status()
         if self._daemon.gossip is not None:
             node = self._daemon.gossip.node
             answer["members"] = {member.number: member.state.value for member in node.swim.members}
             answer["drawn_less"] = sorted(node.suspicions.deprioritized)
         return answer
 
-    # Commands for the fleet's policy
+    # Commands on the fleet's policy
 
-    def _agreement(self) -> ConsensusPolicySource:
-        if self._agreed is None:
+    def _require_consensus_source(self) -> ConsensusPolicySource:
+        if self._consensus_source is None:
             raise CommandError("the policy is not agreed on here")
-        return self._agreed
+        return self._consensus_source
 
     def _propose(self, question: Json) -> Json:
-        """Propose the policy in a file of this machine to the fleet."""
-        agreed = self._agreement()
+        """Proposes the policy in a file on this machine to the fleet."""
+        consensus_source = self._require_consensus_source()
         try:
             content = Path(str(question.get("file"))).read_bytes()
             after = question.get("after")
-            change = agreed.propose(
+            change = consensus_source.propose(
                 content, str(question.get("change", "")), int(after) if after is not None else None,
                 dry_run=question.get("dry") is True,
-                excluded=[int(member) for member in question.get("despite", ())], **_requester(question),
+                excluded=[int(member) for member in question.get("despite", ())], **_read_requester(question),
             )  # fmt: skip
         except (OSError, ValueError, TypeError) as error:
             raise CommandError(str(error)) from error
         return {"change": change}
 
-    def _back(self, question: Json) -> Json:
+    def _roll_back(self, question: Json) -> Json:
         try:
             change = str(question.get("change", ""))
             return {
-                "change": self._agreement().roll_back(
-                    int(question["version"]), change=change, **_requester(question)
+                "change": self._require_consensus_source().roll_back(
+                    int(question["version"]), change=change, **_read_requester(question)
                 )
             }
         except (OSError, ValueError, TypeError, KeyError) as error:
@@ -132,57 +136,61 @@
 
     def _withdraw(self, question: Json) -> Json:
         try:
-            self._agreement().withdraw(str(question.get("change", "")))
+            self._require_consensus_source().withdraw(str(question.get("change", "")))
         except ValueError as error:
             raise CommandError(str(error)) from error
         return {"withdrawn": question.get("change")}
 
-    def _seat(self, question: Json) -> Json:
+    def _change_seat(self, question: Json) -> Json:
         from client_proxy.consensus.messages import AcceptorId
 
-        agreed = self._agreement()
+        consensus_source = self._require_consensus_source()
         try:
             add = question.get("add")
             seat = AcceptorId(int(add["member"]), int(add["memory"])) if add is not None else None
             remove = int(question["remove"]) if seat is None else None
             change = str(question.get("change", ""))
-            return {"change": agreed.change_acceptors(seat, remove, change=change, **_requester(question))}
+            return {
+                "change": consensus_source.change_acceptors(
+                    seat, remove, change=change, **_read_requester(question)
+                )
+            }
         except (OSError, ValueError, TypeError, KeyError) as error:
             raise CommandError(str(error)) from error
 
     def _rollout(self, question: Json) -> Json:
-        agreed = self._agreement()
+        consensus_source = self._require_consensus_source()
         try:
-            return {"change": self._change_rollout(agreed, question)}
+            return {"change": self._change_rollout(consensus_source, question)}
         except (OSError, ValueError, TypeError, KeyError) as error:
             raise CommandError(str(error)) from error
 
     @staticmethod
-    def _change_rollout(agreed: ConsensusPolicySource, question: Json) -> str:
-        """Start a new policy in stages (with `file`, and `plan`: a file), or order the one that is on.
+    def _change_rollout(consensus_source: ConsensusPolicySource, question: Json) -> str:
+        """Starts a rollout of the policy in `file` by the stages in `plan`, or orders the active one by `op`.
 
         Returns the name of the change.
         """
         from client_proxy.config.models import RolloutPlan, RolloutTable
 
-        requester = _requester(question)
+        requester = _read_requester(question)
         order = str(question.get("op"))
         if order in ROLLOUT_ORDERS:
-            return agreed.order_rollout(order, **requester)
+            return consensus_source.order_rollout(order, **requester)
         if order != "start":
             raise CommandError("op: one of start, pause, go-on, back")
         plan = parse(RolloutPlan, read_text(Path(str(question["plan"]))), "the plan")
         new = Path(str(question["file"])).read_text()
         table = RolloutTable(name=str(question["name"]), new=new, **plan.model_dump())
-        return agreed.begin_rollout(table, **requester)
+        return consensus_source.begin_rollout(table, **requester)
 
     def _history(self, _: Json) -> Json:
-        return {"versions": self._agreement().history()}
+        return {"versions": self._require_consensus_source().history()}
 
     def _force(self, question: Json) -> Json:
-        """Accept the version that is held back.
+        """Accepts the list of servers that is held back.
 
-        The caller says which: it may have changed since the caller looked.
+        The caller may name it by its digest: another list may have replaced it since the caller's last query.
         """
         if self._source is None:
             raise CommandError("no file of servers is watched")
--- a/client_proxy/cli/errors.py
+++ b/client_proxy/cli/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the command line and the control socket. All derive from `CliError`."""
+"""Errors of the command line and the control socket. All derive from `CliError`."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 class CommandError(CliError, ValueError):
-    """A command of the control socket can't be carried out; its text says why."""
+    """A command of the control socket can't be executed; the message is the `why` of the answer."""
 
 
 class ControlAnswerError(CliError, ValueError):
-    """What came from a control socket is no answer."""
+    """A control socket sent an invalid answer."""
--- a/client_proxy/cli/former_command.py
+++ b/client_proxy/cli/former_command.py
@@ -10,6 +10,6 @@
 
 
 def main() -> None:
-    """Says the new name once on standard error, then runs the command with the same arguments."""
+    """Prints a notice with the new name to standard error, then runs the command with the same arguments."""
     print(NOTICE, file=sys.stderr)
     client_proxy("cedarcross")
--- a/client_proxy/cli/instance_factory.py
+++ b/client_proxy/cli/instance_factory.py
@@ -1,4 +1,4 @@
-"""Builds an instance from its files: the daemon, what lists its servers, and its control socket."""
+"""Builds an instance from its files: the daemon, the source of its server list, and its control socket."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from client_proxy.address import read_address
 from client_proxy.api.events import EndpointsListed
-from client_proxy.cli.control import Control
+from client_proxy.cli.control import ControlSocket
 from client_proxy.cli.control_commands import ControlCommands
 from client_proxy.cli.instance_file import InstanceFile, settings_document
 from client_proxy.cli.warm_state_saver import WarmStateSaver
@@ -37,13 +37,13 @@
 
 
 class Instance:
-    """The daemon, what lists its servers, and its control socket.
+    """A serving instance: the daemon, the source of its list of servers, and its control socket.
 
     Attributes:
         daemon: The daemon.
-        source: What lists its servers; None: a discovery service does.
-        agreed: The same, where the fleet agrees on the policy.
-        control: The control socket, if there is one.
+        source: The source of the list of servers; None: a discovery service is used.
+        consensus_source: The same source if the fleet agrees on its policy by consensus, else None.
+        control: The control socket; None: the instance's file names none.
     """
 
     def __init__(self, instance_file: InstanceFile) -> None:
@@ -51,7 +51,7 @@
         self.source: FileSource | None = None
         self.consensus_source: ConsensusPolicySource | None = None
         file = instance_file.file
-        config = _platform_config(instance_file)
+        config = _make_config(instance_file)
         endpoint_source = self._endpoint_source_factory()
         self.daemon = Daemon(
             config,
@@ -63,16 +63,18 @@
         if self.consensus_source is not None:
             self.daemon.engine.has_lease = self.consensus_source.may_serve_now
             self.daemon.engine.on_request_ended = self.consensus_source.rollout.record_outcome
-        self._saver: WarmStateSaver | None = None
+        self._warm_state_saver: WarmStateSaver | None = None
         if file.learned:
-            self._saver = WarmStateSaver(self.daemon, instance_file.resolve_path(file.learned))
-            self._saver.restore()
-        self.control: Control | None = None
+            self._warm_state_saver = WarmStateSaver(self.daemon, instance_file.resolve_path(file.learned))
+            self._warm_state_saver.restore()
+        self.control: ControlSocket | None = None
         if file.control:
             commands = ControlCommands(file.name, self.daemon, self.source, self.consensus_source)
-            self.control = Control(instance_file.resolve_path(file.control), commands.verbs())
+            self.control = ControlSocket(
+                instance_file.resolve_path(file.control), commands.command_handlers()
+            )
 
-    # What lists the servers
+    # Sources of the list of servers
 
     def _endpoint_source_factory(self) -> EndpointSourceFactory | None:
         file = self._instance_file.file
@@ -91,7 +93,7 @@
             try:
                 store = VersionStore(Folder(self._instance_file.resolve_path(table.keep)), table.kept)
             except OSError as error:
-                log.warning("versions can't be kept: %s", error)
+                log.warning("old versions of the list of servers will not be kept: %s", error)
         settings = WatchSettings(table.settle_ms, table.sealed, table.leaving_share, 1000.0 * table.hold_s)
         path = self._instance_file.resolve_path(table.file)
         self.source = FileSource(path, table.look_ms, settings, directory, notify, store)
@@ -100,16 +102,18 @@
     def _make_policy_source(
         self, table: AgreementTable, directory: EndpointDirectory, notify: Notify
     ) -> ConsensusPolicySource:
-        # Imported here: an instance without the table starts without the packages.
+        # Imported here so that an instance without [agreement] runs without the optional packages.
         from client_proxy.consensus.policy_source import ConsensusPolicySource
 
         folder, zone = self._instance_file.path.parent, self._instance_file.file.hall
-        self.consensus_source = ConsensusPolicySource(table, folder, directory, notify, self._adopt, zone)
+        self.consensus_source = ConsensusPolicySource(
+            table, folder, directory, notify, self._adopt_policy, zone
+        )
         self.source = self.consensus_source
         return self.consensus_source
 
-    def _adopt(self, policy: Policy, message: dict[str, Any]) -> None:
-        """Let what the fleet agreed on decide from now on, on requests that come."""
+    def _adopt_policy(self, policy: Policy, message: dict[str, Any]) -> None:
+        """Applies the policy that the fleet agreed on to requests that arrive from now on."""
         operators = self._instance_file.operators
         if policy.table is not None:
             operators = replace(policy.operators, gossip=operators.gossip)
@@ -119,31 +123,31 @@
     # Start and end
 
     async def start(self) -> int:
-        """Serve. Returns the port; raises OSError if an address can't be had."""
+        """Starts to serve. Returns the port. Raises OSError if an address can't be bound."""
         if self.consensus_source is not None:
             await self.consensus_source.bind()
         port = await self.daemon.start()
         if self.control is not None:
             await self.control.start()
-        if self._saver is not None:
-            self._saver.start()
+        if self._warm_state_saver is not None:
+            self._warm_state_saver.start()
         return port
 
     def reload_keys(self) -> None:
-        """Read the keys of gossip again, on SIGHUP. All else is watched, or for the next start."""
+        """Reloads the keys of gossip (on SIGHUP). Other files are watched, or read at the next start only."""
         if self.daemon.gossip is not None:
             self.daemon.gossip.reload_keys()
 
     async def end(self) -> None:
-        """Finish what is pending, and stop."""
+        """Finishes pending requests and stops."""
         if self.control is not None:
             self.control.close()
         await self.daemon.shut_down(accept_grace_s=0.0)
-        if self._saver is not None:
-            await self._saver.end()
+        if self._warm_state_saver is not None:
+            await self._warm_state_saver.end()
 
 
-def _platform_config(instance_file: InstanceFile) -> Config:
+def _make_config(instance_file: InstanceFile) -> Config:
     file = instance_file.file
     return Config(
         name=file.name,
@@ -167,8 +171,8 @@
 
 
 def build_instance(instance_file: InstanceFile) -> Instance:
-    """Build an instance from its file. Made inside a running event loop or before one.
+    """Builds an instance from its file, inside a running event loop or before it starts.
 
-    Raises TomlError or OSError where a file that it names is not usable.
+    Raises TomlError or OSError if a file that the instance's file names can't be used.
     """
     return Instance(instance_file)
--- a/client_proxy/cli/instance_file.py
+++ b/client_proxy/cli/instance_file.py
@@ -1,4 +1,4 @@
-"""An instance's own file, and the settings that it and the fleet's policy make together."""
+"""Reads an instance's own file, and combines it with the fleet's policy into the balancer's settings."""
 
 from __future__ import annotations
 
@@ -13,30 +13,36 @@
 
 Json = dict[str, Any]
 
-# A file's words for idempotency, and those of the settings' form.
+# Idempotency in the instance's file, mapped to the key of the settings document.
 EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceFile:
-    """An instance's file that was checked, with what it names."""
+    """A validated instance's file.
+
+    Attributes:
+        path: Path of the file.
+        file: Its content.
+        operators: Settings of the operators' file that it names; none is enabled without one.
+    """
 
     path: Path
     file: ServeFile
     operators: OperatorSettings
 
     def resolve_path(self, name: str) -> Path:
-        """Return a path that the file states, which is relative to the file."""
+        """Returns the path for a name in the file, which is relative to the file's folder."""
         return self.path.parent / name
 
 
 def load_instance_file(path: Path) -> InstanceFile:
-    """Read an instance's file. Raises TomlError with a line for each fault."""
+    """Reads an instance's file. Raises TomlError with one line per fault."""
     file = parse(ServeFile, read_text(path), str(path))
     if sum(source is not None for source in (file.servers, file.discovery, file.agreement)) != 1:
-        raise TomlError(f"{path}: servers: one of [servers], [agreement] and `discovery` is needed")
+        raise TomlError(f"{path}: servers: exactly one of [servers], [agreement] and `discovery` is needed")
     if file.ordinal >= file.instances:
-        raise TomlError(f"{path}: ordinal: {file.ordinal} is not below instances ({file.instances})")
+        raise TomlError(f"{path}: ordinal: {file.ordinal} must be less than instances ({file.instances})")
     operators = load_operators(path.parent / file.operators) if file.operators else NO_FEATURES
     return InstanceFile(path, file, operators)
 
@@ -55,11 +61,11 @@
 
 
 def settings_document(file: ServeFile, policy: Policy | None = None) -> Json:
-    """Return the settings in the form of the platform's configuration.
+    """Returns the settings as JSON in the form of the platform's configuration.
 
     Args:
         file: The instance's file.
-        policy: What the fleet agreed on; where it states a policy, that counts in the file's place.
+        policy: What the fleet agreed on; its [policy] and classes, if stated, replace those of the file.
     """
     table: ServeFile | PolicyTable = file
     classes = file.class_
--- a/client_proxy/cli/logs.py
+++ b/client_proxy/cli/logs.py
@@ -1,9 +1,9 @@
-"""The log of `client-proxy serve`: lines for people or JSON objects, by the library structlog.
+"""Formats the log of `client-proxy serve` as text or JSON lines, with the library structlog.
 
-The code logs through the standard library's `logging`; here its records are given a form. An event is a
-record's text before its values are filled in; of each event there are so many lines a second at most, and
-what was left out is counted on the next line of it: a fault that comes with every request would fill a disk
-and hold up the loop.
+The code logs with the standard library's `logging`; this module formats the records and limits their rate. An
+event is a record's message before its arguments are filled in. The number of lines per event and second is
+limited, and the next line of the event states how many were dropped: an error that occurs with every request
+would otherwise fill the disk and block the event loop.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from client_proxy.config.models import LogTable
 from client_proxy.token_bucket import TokenBucket
 
-MAX_EVENTS = 512
+MAX_EVENTS = 512  # events whose rate is tracked; the least recently logged one is forgotten first
 
 
 class EventRateLimit(logging.Filter):
-    """So many lines a second for each event."""
+    """Limits the log lines per second of each event."""
 
     def __init__(self, per_s: float, clock_s: Callable[[], float] = time.monotonic) -> None:
         super().__init__()
@@ -35,23 +35,23 @@
         return len(self._events)
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether a record is logged; it carries the number of those left out before it."""
+        """Returns whether to log a record, and adds the number of dropped records before it as `left_out`."""
         key = record.name, str(record.msg)
         if key in self._events:
             bucket, left_out = self._events.pop(key)
         else:
             bucket, left_out = TokenBucket(self._per_s, max(1.0, self._per_s)), 0
-        goes = bucket.take(1000.0 * self._clock_s())
-        self._events[key] = bucket, 0 if goes else left_out + 1
+        allowed = bucket.take(1000.0 * self._clock_s())
+        self._events[key] = bucket, 0 if allowed else left_out + 1
         if len(self._events) > MAX_EVENTS:
             self._events.popitem(last=False)
-        if goes and left_out:
+        if allowed and left_out:
             record.left_out = left_out
-        return goes
+        return allowed
 
 
-def _fields(_: Any, __: str, event: Any) -> Any:
-    """Add to an event what its record holds beside the text."""
+def _add_record_fields(_: Any, __: str, event: Any) -> Any:
+    """Adds a record's logger and number of dropped lines to its event (as a structlog processor)."""
     record: logging.LogRecord = event["_record"]
     event["where"] = record.name
     left_out = getattr(record, "left_out", 0)
@@ -60,30 +60,30 @@
     return event
 
 
-def configure_logging(stated: LogTable, stream: TextIO = sys.stderr) -> logging.Handler:
-    """Give the root logger one handler of this form; returns it."""
-    shared: list[Any] = [
+def configure_logging(settings: LogTable, stream: TextIO = sys.stderr) -> logging.Handler:
+    """Replaces the handlers of the root logger with one of the stated form, and returns it."""
+    event_processors: list[Any] = [
         structlog.stdlib.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
-        _fields,
+        _add_record_fields,
     ]
-    last: Any = structlog.processors.JSONRenderer()
-    if stated.form == "text":
-        last = structlog.dev.ConsoleRenderer(colors=False)
+    renderer: Any = structlog.processors.JSONRenderer()
+    if settings.form == "text":
+        renderer = structlog.dev.ConsoleRenderer(colors=False)
     formatter = structlog.stdlib.ProcessorFormatter(
-        foreign_pre_chain=shared,
+        foreign_pre_chain=event_processors,
         processors=[
             structlog.stdlib.ProcessorFormatter.remove_processors_meta,
             structlog.processors.format_exc_info,
-            last,
+            renderer,
         ],
     )
     handler = logging.StreamHandler(stream)
     handler.setFormatter(formatter)
-    handler.addFilter(EventRateLimit(stated.per_event_per_s))
+    handler.addFilter(EventRateLimit(settings.per_event_per_s))
     root = logging.getLogger()
-    for old in list(root.handlers):
-        root.removeHandler(old)
+    for old_handler in list(root.handlers):
+        root.removeHandler(old_handler)
     root.addHandler(handler)
     root.setLevel(logging.INFO)
     return handler
--- a/client_proxy/cli/policy.py
+++ b/client_proxy/cli/policy.py
@@ -1,4 +1,4 @@
-"""`client-proxy policy`: what the fleet agrees on ([agreement]), from a command."""
+"""`client-proxy policy`: shows and changes the policy that the fleet agrees on ([agreement])."""
 
 from __future__ import annotations
 
@@ -16,53 +16,60 @@
 
 FILE = click.Path(dir_okay=False, path_type=Path)
 SOCKET = click.Path(path_type=Path)
-REFUSED = 1
-POLL_INTERVAL_S = 0.1
+EXIT_REFUSED = 1
+POLL_INTERVAL_S = 0.1  # between queries for the result of a change
 RISK = """\
-This makes the newest policy that is kept here the first of a new generation. Do it only when a majority
-of the seats is gone for good. What it risks:
-- if a majority of them still runs somewhere, that fleet serves on by its own policy beside yours, for ever;
-- a change that the lost seats had decided, and that nobody told this one of, is lost{pending};
-- every instance has to be given the new file and generation; until then it refuses.
+This makes the newest policy that is stored here the first of a new generation. Do it only when a majority
+of the seats is permanently lost. The risks:
+- if a majority of the seats still runs somewhere, it continues with its own policy beside yours, for ever;
+- a change that the lost seats had decided, and that did not reach this instance, is lost{pending};
+- every instance needs the new file and generation; without them it has no lease and, by default, refuses
+  requests.
 """
-F = TypeVar("F", bound=Callable[..., None])
+CommandT = TypeVar("CommandT", bound=Callable[..., None])
 
 
 @click.group()
 def policy() -> None:
-    """What the fleet agrees on ([agreement]): servers, classes, limits, features."""
+    """The policy that the fleet agrees on ([agreement]): servers, classes, limits, features."""
 
 
-def requester_options(command: F) -> F:
-    """Who wants a change, why, and how long to wait for its end."""
-    command = click.option("--wait", "wait_s", default=30.0, show_default=True, help="Seconds for the end.")(
-        command
-    )
-    command = click.option("--who", default=getpass.getuser, help="Who wants it; else the user's name.")(
-        command
-    )
-    return click.option("--why", required=True, help="Why, for everyone who reads the history.")(command)
+def requester_options(command: CommandT) -> CommandT:
+    """Adds the options of every change: who requests it, why, and how long to wait for its result."""
+    command = click.option(
+        "--wait", "wait_s", default=30.0, show_default=True, help="Seconds to wait for the result."
+    )(command)
+    command = click.option(
+        "--who", default=getpass.getuser, help="Who requests the change; default: the user's name."
+    )(command)
+    return click.option("--why", required=True, help="Reason for the change, shown in the history.")(command)
 
 
 def request_change(socket: Path, question: dict[str, Any], wait_s: float) -> None:
-    """Ask for the change, and tell what becomes of it."""
-    named = ask_instance(socket, question)["change"]
+    """Requests a change, waits for its result and prints it.
+
+    The exit code is 0 for an accepted change, 1 for a refused one.
+
+    Raises:
+        ClickException: The instance refuses the question, or there is no result after `wait_s` seconds.
+    """
+    change_name = ask_instance(socket, question)["change"]
     end_s = time.monotonic() + wait_s
     while time.monotonic() < end_s:
-        told = ask_instance(socket, {"do": "status"})["agreement"]["changes"]
-        found = next((each for each in reversed(told) if each["change"] == named), None)
-        if found is not None:
-            click.echo(json.dumps(found))
-            sys.exit(0 if found["what"] in ("decided", "could") else REFUSED)
+        results = ask_instance(socket, {"do": "status"})["agreement"]["changes"]
+        result = next((each for each in reversed(results) if each["change"] == change_name), None)
+        if result is not None:
+            click.echo(json.dumps(result))
+            sys.exit(0 if result["what"] in ("decided", "could") else EXIT_REFUSED)
         time.sleep(POLL_INTERVAL_S)
-    raise click.ClickException(f"{named} has not ended: `policy status` tells of it later")
+    raise click.ClickException(f"{change_name} has no result after {wait_s:g} s: see `policy status` later")
 
 
 @policy.command("init")
-@click.option("--config", "path", type=FILE, required=True, help="The instance's file.")
-@click.option("--anew", is_flag=True, help="Its memory is lost: another, which has to be voted in.")
+@click.option("--config", "path", type=FILE, required=True, help="File of the instance.")
+@click.option("--anew", is_flag=True, help="The memory is lost: make a new one, which must be voted in.")
 def policy_init(path: Path, anew: bool) -> None:
-    """Let the instance vote, once. Where its folder was lost only with --anew: else it would vote twice."""
+    """Create the memory of votes of the instance, once. After a loss use --anew: else it could vote twice."""
     from client_proxy.cli.instance_file import load_instance_file
     from client_proxy.consensus.bootstrap import initialize_acceptor
     from client_proxy.membership.keys import load_keyring
@@ -79,9 +86,9 @@
 
 @policy.command("check")
 @click.argument("file", type=FILE)
-@click.option("--beside", type=FILE, help="Tell what changes from this one to FILE.")
+@click.option("--beside", type=FILE, help="Print the changes from this policy to FILE.")
 def policy_check(file: Path, beside: Path | None) -> None:
-    """Look whether FILE is a policy, without asking anybody. Faults end it with their lines."""
+    """Check whether FILE is a valid policy, without contacting any instance. All faults are printed."""
     from client_proxy.config.policy import describe_policy_changes, read_policy
 
     new = read_policy(file.read_bytes(), str(file))
@@ -95,11 +102,21 @@
 @policy.command("propose")
 @click.argument("socket", type=SOCKET)
 @click.argument("file", type=FILE)
-@click.option("--after", type=int, required=True, help="The version that FILE was made from (policy status).")
 @click.option(
-    "--dry-run", "dry", is_flag=True, help="Ask every instance whether it can take it; change nothing."
+    "--after", type=int, required=True, help="The version that FILE is based on (see policy status)."
+)
+@click.option(
+    "--dry-run",
+    "dry",
+    is_flag=True,
+    help="Only ask every instance whether it accepts the policy; change nothing.",
+)
+@click.option(
+    "--despite",
+    type=int,
+    multiple=True,
+    help="Number of a member that is not asked, as it would refuse any change.",
 )
-@click.option("--despite", type=int, multiple=True, help="A member that is not asked: it would refuse all.")
 @requester_options
 def policy_propose(
     socket: Path,
@@ -111,7 +128,7 @@
     who: str,
     wait_s: float,
 ) -> None:
-    """Propose the policy in FILE at the instance at the control SOCKET, which has to be one that votes."""
+    """Propose the policy in FILE through the instance at the control SOCKET, which must have a seat."""
     question = {"do": "propose", "file": str(file.resolve()), "after": after, "dry": dry}
     question["despite"] = list(despite)
     request_change(socket, question | {"who": who, "why": why}, wait_s)
@@ -122,7 +139,7 @@
 @click.argument("version", type=int)
 @requester_options
 def policy_back(socket: Path, version: int, why: str, who: str, wait_s: float) -> None:
-    """Propose what VERSION was, as a version of its own. Its seats are those of now."""
+    """Propose the content of VERSION as a new version, with the current seats."""
     request_change(socket, {"do": "back", "version": version, "who": who, "why": why}, wait_s)
 
 
@@ -130,7 +147,7 @@
 @click.argument("socket", type=SOCKET)
 @click.argument("change")
 def policy_withdraw(socket: Path, change: str) -> None:
-    """Call off a change that is under way at SOCKET, if no seat was asked to vote for it yet."""
+    """Cancel a pending change at SOCKET, if no seat was asked to vote for it yet."""
     ask_instance(socket, {"do": "withdraw", "change": change})
     click.echo(f"withdrawn: {change}")
 
@@ -139,48 +156,48 @@
 @click.argument("socket", type=SOCKET)
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def policy_history(socket: Path, as_json: bool) -> None:
-    """The versions that were decided, the newest last: who wanted each, and why."""
+    """List the decided versions, the newest last, with who requested each and why."""
     versions = ask_instance(socket, {"do": "history"})["versions"]
     if as_json:
         click.echo(json.dumps(versions, indent=1))
         return
     for each in versions:
-        kept = "" if each["kept"] else "  (not kept: no way back to it)"
+        kept = "" if each["kept"] else "  (not kept: no rollback to it)"
         who = each["who"] or "-"
         click.echo(f"{each['version']:8}  {each['digest'][:8]}  {who:12} {each['why']}{kept}")
 
 
 @policy.group("seat")
 def seat() -> None:
-    """Who votes: one seat at a time."""
+    """Add or remove seats, which vote on changes, one at a time."""
 
 
 @seat.command("add")
 @click.argument("socket", type=SOCKET)
-@click.option("--member", type=int, required=True, help="The instance's number.")
-@click.option("--memory", type=int, required=True, help="As `policy init` told it there.")
+@click.option("--member", type=int, required=True, help="Number of the instance.")
+@click.option("--memory", type=int, required=True, help="Number that `policy init` printed there.")
 @requester_options
 def seat_add(socket: Path, member: int, memory: int, why: str, who: str, wait_s: float) -> None:
-    """Give a member a seat; if it has one already, another memory for it."""
+    """Give a member a seat, or a new memory if it already has a seat."""
     question = {"do": "seat", "add": {"member": member, "memory": memory}, "who": who, "why": why}
     request_change(socket, question, wait_s)
 
 
 @seat.command("remove")
 @click.argument("socket", type=SOCKET)
-@click.option("--member", type=int, required=True, help="The instance's number; it may be gone for good.")
+@click.option("--member", type=int, required=True, help="Number of the instance; it may be down.")
 @requester_options
 def seat_remove(socket: Path, member: int, why: str, who: str, wait_s: float) -> None:
-    """Take a member's seat away."""
+    """Remove the seat of a member."""
     request_change(socket, {"do": "seat", "remove": member, "who": who, "why": why}, wait_s)
 
 
 @policy.command("rescue")
-@click.option("--config", "path", type=FILE, required=True, help="The file of an instance that is stopped.")
-@click.option("--out", type=FILE, required=True, help="Where the newest policy that it kept is written to.")
-@click.option("--yes", is_flag=True, help="The risks are known. Without it nothing is done.")
+@click.option("--config", "path", type=FILE, required=True, help="File of a stopped instance.")
+@click.option("--out", type=FILE, required=True, help="Path to write the newest policy that it stored to.")
+@click.option("--yes", is_flag=True, help="Accept the risks. Without it nothing is changed.")
 def policy_rescue(path: Path, out: Path, yes: bool) -> None:
-    """The way out when a majority of the seats is gone for good: begin anew, from what this instance kept."""
+    """Start a new generation from the policy stored here, after the permanent loss of most seats."""
     from client_proxy.cli.instance_file import load_instance_file
     from client_proxy.consensus.disaster_recovery import archive_state, inspect_state
 
@@ -188,27 +205,29 @@
     if table is None:
         raise click.ClickException(f"{path}: there is no [agreement]")
     try:
-        found = inspect_state(table, path.parent)
+        recovered = inspect_state(table, path.parent)
     except ValueError as error:
         raise click.ClickException(str(error)) from None
-    pending = f" (this seat had voted for one: {found.pending_change})" if found.pending_change else ""
+    pending = (
+        f" (this seat had voted for one: {recovered.pending_change})" if recovered.pending_change else ""
+    )
     click.echo(RISK.format(pending=pending), err=True)
-    click.echo(f"kept here: version {found.version}, {found.digest}", err=True)
+    click.echo(f"stored here: version {recovered.version}, {recovered.digest}", err=True)
     if not yes:
-        raise click.ClickException("nothing was done; say --yes to go on")
-    out.write_bytes(found.body)
-    aside = archive_state(table, path.parent)
+        raise click.ClickException("nothing was changed; repeat with --yes to continue")
+    out.write_bytes(recovered.body)
+    archive_path = archive_state(table, path.parent)
     click.echo(
-        f"{out} is written, {table.keep} is now {aside}. In every instance's file: first = that file, "
-        f"generation = {table.generation + 1}, seats of those that live; then `policy init` at each of these."
+        f"{out} is written, {table.keep} is now {archive_path}. In every instance's file set first = that "
+        f"file, generation = {table.generation + 1}, the seats that remain; then run `policy init` at each."
     )
 
 
 @policy.command("status")
 @click.argument("socket", type=SOCKET)
 def policy_status(socket: Path) -> None:
-    """What the instance decides by, until when, and who was heard, as JSON."""
-    said = ask_instance(socket, {"do": "status"}).get("agreement")
-    if said is None:
-        raise click.ClickException("the policy is not agreed on here")
-    click.echo(json.dumps(said, indent=1))
+    """Print the version the instance decides by, its lease and the members it hears from, as JSON."""
+    agreement = ask_instance(socket, {"do": "status"}).get("agreement")
+    if agreement is None:
+        raise click.ClickException("this instance has no [agreement]")
+    click.echo(json.dumps(agreement, indent=1))
--- a/client_proxy/cli/rollout.py
+++ b/client_proxy/cli/rollout.py
@@ -1,4 +1,4 @@
-"""`client-proxy rollout`: a new policy beside the old one, in stages, stopped when a stage does worse."""
+"""`client-proxy rollout`: introduces a new policy in stages, and stops when a stage performs worse."""
 
 from __future__ import annotations
 
@@ -12,28 +12,30 @@
 from client_proxy.cli.asking import ask_instance
 from client_proxy.cli.policy import FILE, SOCKET, request_change, requester_options
 
-POLL_INTERVAL_S = 1.0
+POLL_INTERVAL_S = 1.0  # of `status --follow`
 
 
 @click.group()
 def rollout() -> None:
-    """A new policy in stages, old and new side by side (needs [agreement])."""
+    """Introduce a new policy in stages, beside the old one (needs [agreement])."""
 
 
 @rollout.command("start")
 @click.argument("socket", type=SOCKET)
 @click.argument("file", type=FILE)
-@click.option("--name", required=True, help="Of the rollout.")
-@click.option("--plan", type=FILE, required=True, help="Stages and what counts as worse, as TOML.")
+@click.option("--name", required=True, help="Name of the rollout.")
+@click.option(
+    "--plan", type=FILE, required=True, help="TOML file with the stages and the criteria for worse."
+)
 @requester_options
 def start(socket: Path, file: Path, name: str, plan: Path, why: str, who: str, wait_s: float) -> None:
-    """Begin with the policy in FILE, at the instance at the control SOCKET, which has to be one that
-    votes."""
+    """Start a rollout of the policy in FILE through the instance at the control SOCKET, which must have a
+    seat."""
     question = {"do": "rollout", "op": "start", "file": str(file.resolve()), "plan": str(plan.resolve())}
     request_change(socket, question | {"name": name, "who": who, "why": why}, wait_s)
 
 
-def _order(op: str, text: str) -> None:
+def _add_order_command(op: str, text: str) -> None:
     @rollout.command(op, help=text)
     @click.argument("socket", type=SOCKET)
     @requester_options
@@ -41,37 +43,37 @@
         request_change(socket, {"do": "rollout", "op": op, "who": who, "why": why}, wait_s)
 
 
-_order("pause", "Let it stand where it is: nothing moves until `go-on` or `back`.")
-_order("go-on", "Let a paused one go on, or one that asks take its next stage.")
-_order("back", "All go by the old policy again; the rollout is over.")
+_add_order_command("pause", "Pause the rollout in its stage until `go-on` or `back`.")
+_add_order_command("go-on", "Resume a paused rollout, or confirm the next stage of one that asks.")
+_add_order_command("back", "Return all instances to the old policy and end the rollout.")
 
 
 @rollout.command("status")
 @click.argument("socket", type=SOCKET)
-@click.option("--follow", is_flag=True, help="Until it is over, a line a second.")
+@click.option("--follow", is_flag=True, help="Print the status every second until the rollout ends.")
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def status(socket: Path, follow: bool, as_json: bool) -> None:
-    """How it stands: the stage, who is in it, and by how much the new ones lose more."""
+    """Print the stage, its members, and how much more requests the new policy loses than the old one."""
     while True:
-        said = ask_instance(socket, {"do": "status"}).get("agreement") or {}
-        found = said.get("rollout")
+        agreement = ask_instance(socket, {"do": "status"}).get("agreement") or {}
+        state = agreement.get("rollout")
         if as_json:
-            click.echo(json.dumps(found))
+            click.echo(json.dumps(state))
         else:
-            click.echo(line(found))
-        if not follow or found is None:
+            click.echo(format_status(state))
+        if not follow or state is None:
             return
         time.sleep(POLL_INTERVAL_S)
 
 
-def line(found: dict[str, Any] | None) -> str:
-    """Return one line on how a rollout stands."""
-    if found is None:
-        return "no rollout is on (`policy history` tells how the last one ended)"
-    difference, low, high, asked_ = found["lose_more"]["all"]
-    trouble = "  the others do worse as well: nothing is judged" if found["troubled"] else ""
+def format_status(state: dict[str, Any] | None) -> str:
+    """Returns one line with the status of a rollout; None: there is none."""
+    if state is None:
+        return "no rollout is active (`policy history` shows how the last one ended)"
+    difference, low, high, requests = state["lose_more"]["all"]
+    verdict_note = "  the old policy performs worse as well: no verdict" if state["troubled"] else ""
     return (
-        f"{found['name']}: stage {found['stage']} of {found['of']}, {found['what']} {found['reason']}  "
-        f"{len(found['members'])} of {found['there']} by the new one, {asked_} requests, "
-        f"lose {difference:+.4f} ({low:+.4f} to {high:+.4f}){trouble}"
+        f"{state['name']}: stage {state['stage']} of {state['of']}, {state['what']} {state['reason']}  "
+        f"{len(state['members'])} of {state['there']} on the new policy, {requests} requests, "
+        f"lost share {difference:+.4f} ({low:+.4f} to {high:+.4f}){verdict_note}"
     )
--- a/client_proxy/cli/serve.py
+++ b/client_proxy/cli/serve.py
@@ -1,4 +1,4 @@
-"""One client proxy by its operators' own file: no platform, no discovery service needed."""
+"""Runs one client proxy from its own file, without the platform's configuration."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 async def run(
     instance_file: InstanceFile, signals: ProcessSignals, ready: Callable[[int], object] | None = None
 ) -> None:
-    """Serve until SIGTERM or SIGINT.
+    """Serves until SIGTERM or SIGINT.
 
     Args:
-        instance_file: What the instance is made of.
+        instance_file: The validated file of the instance.
         signals: The process's signals, installed before the file was read.
-        ready: Called with the port once it listens.
+        ready: Called with the port once the instance listens.
     """
     if signals.termination_requested:
-        return  # nobody has been accepted yet
+        return  # no client connection has been accepted yet
     instance = build_instance(instance_file)
     port = await instance.start()
     stop = asyncio.Event()
@@ -38,5 +38,5 @@
         ready(port)
     await stop.wait()
     await instance.end()
-    # From the loop's close on, a handler of Python's would be no more than the default action again.
+    # Once the loop closes, the default actions would replace Python's handlers and end the process early.
     signals.ignore()
--- a/client_proxy/cli/warm_state_saver.py
+++ b/client_proxy/cli/warm_state_saver.py
@@ -1,4 +1,4 @@
-"""Keeps what an instance has learned of servers on disk, and gives it to the next process."""
+"""Saves what an instance has learned about its servers to disk, and restores it in the next process."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 log = logging.getLogger(__name__)
 
-SAVE_INTERVAL_S = 10.0
+SAVE_INTERVAL_S = 10.0  # a kill loses the changes since the last save
 
 
 class WarmStateSaver:
-    """Restores a snapshot at the start, and saves one now and then and at the end."""
+    """Restores the warm state at the start, and saves it periodically and at the end."""
 
     def __init__(self, daemon: Daemon, path: Path) -> None:
         self._daemon = daemon
         self._path = path
         self._timer: asyncio.TimerHandle | None = None
-        self._writing: asyncio.Future[None] | None = None
+        self._pending_write: asyncio.Future[None] | None = None
 
     def restore(self) -> None:
-        """Have the daemon's first balancer go on with the snapshot on disk, if there is a usable one."""
+        """Restores the snapshot on disk into the daemon's first balancer, if there is a usable one."""
         from client_proxy.warm_state.restore import restore_snapshot
         from client_proxy.warm_state.snapshot_store import load_snapshot
 
@@ -36,14 +36,16 @@
         read_ms = now_ms()
 
         def restore_to(balancer: Balancer) -> None:
-            # It was read at the start; the list came later.
-            count = restore_snapshot(balancer, loaded.snapshot, age_ms + now_ms() - read_ms, unix_offset_ms())
-            log.info("what was learned of %d servers goes on, %.1f s old", count, age_ms / 1000.0)
+            # The snapshot has aged since it was read: the endpoint list arrives later.
+            restored_count = restore_snapshot(
+                balancer, loaded.snapshot, age_ms + now_ms() - read_ms, unix_offset_ms()
+            )
+            log.info("restored the warm state of %d servers, %.1f s old", restored_count, age_ms / 1000.0)
 
         self._daemon.engine.restore_snapshot = restore_to
 
     def start(self) -> None:
-        """Save now and then from now on; a kill costs what was learned since."""
+        """Starts saving every `SAVE_INTERVAL_S`; a kill loses what was learned since the last save."""
         self._timer = asyncio.get_running_loop().call_later(SAVE_INTERVAL_S, self._save)
 
     def _save(self) -> None:
@@ -61,15 +63,15 @@
             try:
                 save_snapshot(path, stored)
             except OSError as error:
-                log.warning("what was learned can't be kept: %s", error)
+                log.warning("can't save the warm state: %s", error)
 
-        # In a thread: a disk that takes a second for a sync would stop all requests for as long.
-        self._writing = asyncio.get_running_loop().run_in_executor(None, write)
+        # In a thread: a disk that takes a second to sync would otherwise block all requests for that time.
+        self._pending_write = asyncio.get_running_loop().run_in_executor(None, write)
 
     async def end(self) -> None:
-        """Save for the last time."""
+        """Saves a last time and waits until it is written."""
         if self._timer is not None:
             self._save()
             self._timer.cancel()
-            if self._writing is not None:
-                await self._writing
+            if self._pending_write is not None:
+                await self._pending_write
--- a/client_proxy/limits/settings.py
+++ b/client_proxy/limits/settings.py
@@ -54,6 +54,6 @@
         t.fault("least", "the shares of all classes sum to more than 1")
     if settings.retry_after_ms[0] > settings.retry_after_ms[1]:
         t.fault("come_back_most_ms", "it is less than come_back_least_ms")
-    least_table.end()
+    least_table.reject_unknown_keys()
     t.reject_unknown_keys()
     return settings
--- a/client_proxy/routing/settings.py
+++ b/client_proxy/routing/settings.py
@@ -70,8 +70,8 @@
         congested_inflation=table.number_("full", default.congested_inflation, 1.0, 100.0),
         memory_s=table.number_("memory_s", default.memory_s, 1.0, 86_400.0),
     )
-    near_table.end()
-    spill_table.end()
+    near_table.reject_unknown_keys()
+    spill_table.reject_unknown_keys()
     table.reject_unknown_keys()
     return settings
 
--- a/client_proxy/scale/hollow.py
+++ b/client_proxy/scale/hollow.py
@@ -16,7 +16,7 @@
 
 from client_proxy.address import Address, read_address
 from client_proxy.api.events import EndpointsListed
-from client_proxy.cli.control import Control, Json
+from client_proxy.cli.control import ControlSocket, Json
 from client_proxy.cli.errors import CommandError
 from client_proxy.cli.instance_file import load_instance_file, settings_document
 from client_proxy.cli.logs import configure_logging
@@ -78,10 +78,10 @@
         if discovery is not None:
             self._listed = EndpointDirectory()
             self._discovery = Discovery(discovery, False, self._listed, _ignore)
-        self._control: Control | None = None
+        self._control: ControlSocket | None = None
         if serving.file.control:
             verbs = {"status": self._status, "propose": self._propose}
-            self._control = Control(serving.resolve_path(serving.file.control), verbs)
+            self._control = ControlSocket(serving.resolve_path(serving.file.control), verbs)
 
     async def start(self) -> None:
         await self.source.bind()
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -22,7 +22,7 @@
 
 from client_proxy.api.policy_hook import PickContext
 from client_proxy.cli.commands import main
-from client_proxy.cli.control import MAX_CALLERS, Control, ask
+from client_proxy.cli.control import MAX_CALLERS, ControlSocket, ask
 from client_proxy.cli.errors import CommandError
 from client_proxy.cli.logs import MAX_EVENTS, EventRateLimit, configure_logging
 from client_proxy.config.fleet import read_server_list
@@ -205,7 +205,7 @@
 
 def test_a_thousand_callers_of_all_kinds(tmp_path: Path) -> None:
     async def test() -> None:
-        control = Control(tmp_path / "c.sock", {"say": verbs})
+        control = ControlSocket(tmp_path / "c.sock", {"say": verbs})
         await control.start()
         mute = []
         for _ in range(MAX_CALLERS):  # connect, and say nothing
@@ -234,11 +234,11 @@
         await until(lambda: control._callers == 0)
         # Nobody else's place is taken, and nobody's file.
         with pytest.raises(OSError, match="another instance"):
-            await Control(tmp_path / "c.sock", {}).start()
+            await ControlSocket(tmp_path / "c.sock", {}).start()
         control.close()
         (tmp_path / "d").write_text("x")
         with pytest.raises(OSError, match="something else"):
-            await Control(tmp_path / "d", {}).start()
+            await ControlSocket(tmp_path / "d", {}).start()
 
     logging.disable(logging.CRITICAL)
     try:
@@ -251,7 +251,7 @@
     async def test() -> None:
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as left:
             left.bind(str(tmp_path / "c.sock"))
-        control = Control(tmp_path / "c.sock", {"say": verbs})
+        control = ControlSocket(tmp_path / "c.sock", {"say": verbs})
         await control.start()
         said = await asyncio.to_thread(ask, tmp_path / "c.sock", {"do": "say", "bad": 1})
         assert said == {"ok": False, "why": "no such thing"}
@@ -267,7 +267,7 @@
     lambda each: st.lists(each, max_size=3) | st.dictionaries(st.sampled_from(["do", "x"]), each, max_size=2),
 ).map(lambda value: json.dumps(value).encode())))  # fmt: skip
 def test_any_question_gets_an_answer(line: bytes) -> None:
-    answer = Control(Path("unused"), {"say": verbs}).answer(line)
+    answer = ControlSocket(Path("unused"), {"say": verbs}).answer(line)
     assert isinstance(answer["ok"], bool)
     assert json.dumps(answer)
 
--- a/tests/cli/test_policy.py
+++ b/tests/cli/test_policy.py
@@ -163,7 +163,7 @@
     code, said = call("policy", "history", "s")
     assert code == 0
     assert "rack 7" in said
-    assert "no way back" in said
+    assert "no rollback" in said
     asked = [q for q in questions if q["do"] not in ("status", "history")]
     assert [q["do"] for q in asked] == ["back", "seat", "seat", "withdraw"]
     assert asked[1]["add"] == {"member": 4, "memory": 9}
--- a/tests/consensus/test_transport.py
+++ b/tests/consensus/test_transport.py
@@ -146,7 +146,9 @@
             accepted.append("anybody")
             return 1
 
-    instance = SimpleNamespace(agreed=UnboundSource(), daemon=AcceptingDaemon(), control=None, _saver=None)
+    instance = SimpleNamespace(
+        consensus_source=UnboundSource(), daemon=AcceptingDaemon(), control=None, _warm_state_saver=None
+    )
     with pytest.raises(OSError, match="in use"):
         asyncio.run(ServingInstance.start(instance))  # type: ignore[arg-type]
     assert accepted == []
--- a/tests/warm_state/test_snapshot_store.py
+++ b/tests/warm_state/test_snapshot_store.py
@@ -74,4 +74,4 @@
     # Other scenarios test how soon the instance serves again; this one tests that it restored its warm state.
     assert verdict.outcome != "error", (verdict.why, verdict.breaches[:3])
     log = (Path(verdict.folder) / "i1.log").read_text()
-    assert log.count("what was learned of 4 servers goes on") == 1
+    assert log.count("restored the warm state of 4 servers") == 1
