--- a/tests/cli/__init__.py
+++ b/tests/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of cli."""
+"""Tests of the command line, the control socket and the log."""
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The one command, the control socket and the log."""
+"""The command `client-proxy`, the control socket, the log and the endpoint weights."""
 
 from __future__ import annotations
 
@@ -54,69 +54,69 @@
 """
 
 
-def call(*words: str) -> tuple[int, str]:
-    result = CliRunner().invoke(main, list(words))
+def run_command(*arguments: str) -> tuple[int, str]:
+    result = CliRunner().invoke(main, list(arguments))
     return result.exit_code, result.output
 
 
-def test_check_tells_all_faults_of_all_files(tmp_path: Path) -> None:
+def test_check_reports_all_faults_of_all_files(tmp_path: Path) -> None:
     config, servers = tmp_path / "proxy.toml", tmp_path / "servers.toml"
     config.write_text(CONFIG)
-    servers.write_bytes(sealed_file(3))
-    code, said = call("config", "check", str(config))
+    servers.write_bytes(sealed(3))
+    code, output = run_command("config", "check", str(config))
     assert code == 0
-    assert "an instance with 1 classes, and 5 servers, 5 of them usable, sealed" in said
-    servers.write_bytes(sealed_file(3)[:-30])
+    assert "an instance with 1 classes, and 5 servers, 5 of them usable, sealed" in output
+    servers.write_bytes(sealed(3)[:-30])
     config.write_text(CONFIG.replace("aim_ms", "aim").replace("look_ms = 5", "look_ms = 0"))
-    code, said = call("config", "check", str(config), str(servers), "--json")
-    told = json.loads(said)
+    code, output = run_command("config", "check", str(config), str(servers), "--json")
+    results = json.loads(output)
     assert code == 2
-    assert [each["ok"] for each in told] == [False, False]
-    assert any("servers.look_ms: 0" in line for line in told[0]["faults"])
-    assert any("class.0.aim: not a known key" in line for line in told[0]["faults"])
+    assert [result["ok"] for result in results] == [False, False]
+    assert any("servers.look_ms: 0" in line for line in results[0]["faults"])
+    assert any("class.0.aim: not a known key" in line for line in results[0]["faults"])
 
 
-def test_seal_diff_history_and_rollback(tmp_path: Path) -> None:
+def test_seal_diff_history_and_rollback_of_a_server_list(tmp_path: Path) -> None:
     from client_proxy.config.version_store import Folder, VersionStore
 
     servers, kept = tmp_path / "servers.toml", VersionStore(Folder(tmp_path / "kept"))
-    servers.write_bytes(server_tables(3))
-    assert call("config", "seal", str(servers))[0] == 0
+    servers.write_bytes(text(3))
+    assert run_command("config", "seal", str(servers))[0] == 0
     first = servers.read_bytes()
     kept.save(first)
-    assert read_server_list(first, "f").version == 1
-    servers.write_bytes(first.replace(b"8002", b"8099"))  # an edit under the old seal
-    assert call("config", "check", str(servers))[0] == 2
-    assert call("config", "seal", str(servers))[0] == 0
+    assert read_fleet(first, "f").version == 1
+    servers.write_bytes(first.replace(b"8002", b"8099"))  # edited without a new seal
+    assert run_command("config", "check", str(servers))[0] == 2
+    assert run_command("config", "seal", str(servers))[0] == 0
     kept.save(servers.read_bytes())
     old = tmp_path / "old.toml"
     old.write_bytes(first)
-    code, said = call("config", "diff", str(old), str(servers))
+    code, output = run_command("config", "diff", str(old), str(servers))
     assert code == 1
-    assert "s2: address '127.0.0.1:8002' -> '127.0.0.1:8099'" in said
-    code, said = call("config", "history", str(tmp_path / "kept"))
+    assert "s2: address '127.0.0.1:8002' -> '127.0.0.1:8099'" in output
+    code, output = run_command("config", "history", str(tmp_path / "kept"))
     assert code == 0
-    assert said.splitlines() == [
+    assert output.splitlines() == [
         "number 1  version 1  servers 3",
         "number 2  version 2  servers 3",
     ]
-    assert call("config", "rollback", str(servers), str(tmp_path / "kept"))[0] == 0
-    back = read_server_list(servers.read_bytes(), "f")
-    assert back.version == 3
-    assert back.servers == read_server_list(first, "f").servers
-    assert call("config", "rollback", str(servers), str(tmp_path / "kept"), "--to", "9")[0] == 2
+    assert run_command("config", "rollback", str(servers), str(tmp_path / "kept"))[0] == 0
+    restored = read_fleet(servers.read_bytes(), "f")
+    assert restored.version == 3
+    assert restored.servers == read_fleet(first, "f").servers
+    assert run_command("config", "rollback", str(servers), str(tmp_path / "kept"), "--to", "9")[0] == 2
 
 
-def test_schemas_and_the_reference_are_printed() -> None:
+def test_schemas_and_reference_page_are_printed() -> None:
     for of in ("serve", "servers"):
-        code, said = call("config", "schema", of)
+        code, output = run_command("config", "schema", of)
         assert code == 0
-        assert json.loads(said)["type"] == "object"
-    assert "| `leaving_share` | `0.5` |" in call("config", "reference")[1]
+        assert json.loads(output)["type"] == "object"
+    assert "| `leaving_share` | `0.5` |" in run_command("config", "reference")[1]
 
 
-def test_an_instance_from_its_file_to_its_end(tmp_path: Path) -> None:
-    """The program itself: serve, status, a slip held back and forced, SIGTERM."""
+def test_instance_serves_holds_back_a_list_and_shuts_down(tmp_path: Path) -> None:
+    """A serving process: its status, a suspicious list that is held back and then forced, and SIGTERM."""
 
     async def hosts() -> list[Host]:
         return [await Host(f"h{n}").start() for n in range(3)]
@@ -134,9 +134,16 @@
 
         (tmp_path / "proxy.toml").write_text(CONFIG)
         (tmp_path / "servers.toml").write_bytes(servers(3, 1))
-        words = [sys.executable, "-m", "client_proxy.cli", "serve", "--config", str(tmp_path / "proxy.toml")]
+        arguments = [
+            sys.executable,
+            "-m",
+            "client_proxy.cli",
+            "serve",
+            "--config",
+            str(tmp_path / "proxy.toml"),
+        ]
         log = (tmp_path / "log").open("wb")
-        process = subprocess.Popen(words, stderr=log, env={**os.environ, "PYTHONPATH": os.getcwd()})
+        process = subprocess.Popen(arguments, stderr=log, env={**os.environ, "PYTHONPATH": os.getcwd()})
         control = tmp_path / "x.sock"
 
         def status() -> dict[str, Any]:
@@ -144,26 +151,26 @@
 
         try:
             await until(control.exists)
-            said = await asyncio.to_thread(status)
-            assert said["ready"]
-            assert len(said["servers"]) == 3
+            answer = await asyncio.to_thread(status)
+            assert answer["ready"]
+            assert len(answer["servers"]) == 3
             assert control.stat().st_mode & 0o777 == 0o600
             (tmp_path / "servers.toml").write_bytes(servers(1, 2))
 
-            def held() -> bool:
+            def is_held_back() -> bool:
                 return status()["fleet"]["held_back"] is not None
 
-            while not await asyncio.to_thread(held):
+            while not await asyncio.to_thread(is_held_back):
                 pass
-            result = await asyncio.to_thread(call, "force", str(control), "--digest", "no")
+            result = await asyncio.to_thread(run_command, "force", str(control), "--digest", "no")
             assert result[0] == 1
             assert "what is held back is" in result[1]
-            result = await asyncio.to_thread(call, "force", str(control))
+            result = await asyncio.to_thread(run_command, "force", str(control))
             assert result[0] == 0
-            code, told = await asyncio.to_thread(call, "status", str(control))
+            code, output = await asyncio.to_thread(run_command, "status", str(control))
             assert code == 0
-            assert "h0" in told
-            assert "h1" not in told
+            assert "h0" in output
+            assert "h1" not in output
             process.send_signal(signal.SIGTERM)
             assert await asyncio.to_thread(process.wait, 15) == 0
             assert not control.exists()
@@ -180,16 +187,16 @@
     run(test())
 
 
-def test_a_fault_ends_the_start_with_its_lines(tmp_path: Path) -> None:
+def test_serve_refuses_an_invalid_file_and_prints_its_faults(tmp_path: Path) -> None:
     config = tmp_path / "proxy.toml"
     config.write_text(CONFIG.replace('file = "servers.toml"', 'fil = "servers.toml"'))
-    code, said = call("serve", "--config", str(config))
+    code, output = run_command("serve", "--config", str(config))
     assert code == 2
-    assert "servers.file: missing" in said
-    assert "servers.fil: not a known key" in said
+    assert "servers.file: missing" in output
+    assert "servers.fil: not a known key" in output
     config.write_text(CONFIG + "\n[discovery]\nx = 1\n")
-    assert call("serve", "--config", str(config))[0] == 2
-    assert call("serve", "--config", str(tmp_path / "none"))[0] == 2
+    assert run_command("serve", "--config", str(config))[0] == 2
+    assert run_command("serve", "--config", str(tmp_path / "none"))[0] == 2
 
 
 # The control socket
@@ -203,16 +210,16 @@
     return {"said": question.get("x")}
 
 
-def test_a_thousand_callers_of_all_kinds(tmp_path: Path) -> None:
+def test_control_socket_withstands_a_thousand_good_and_bad_callers(tmp_path: Path) -> None:
     async def test() -> None:
         control = ControlSocket(tmp_path / "c.sock", {"say": verbs})
         await control.start()
-        mute = []
-        for _ in range(MAX_CALLERS):  # connect, and say nothing
-            mute.append(await asyncio.open_unix_connection(str(tmp_path / "c.sock")))
+        silent_callers = []
+        for _ in range(MAX_CALLERS):  # they connect and send nothing
+            silent_callers.append(await asyncio.open_unix_connection(str(tmp_path / "c.sock")))
         reader, _ = await asyncio.open_unix_connection(str(tmp_path / "c.sock"))
         assert json.loads(await reader.readline())["why"] == "too many callers"
-        for _, writer in mute:
+        for _, writer in silent_callers:
             writer.close()
         await until(lambda: control._callers == 0)
         for number in range(1000):
@@ -232,7 +239,7 @@
                 assert "it failed here" in json.loads(await reader.readline())["why"]
             writer.close()
         await until(lambda: control._callers == 0)
-        # Nobody else's place is taken, and nobody's file.
+        # A socket that another instance listens on, or another kind of file, is not replaced.
         with pytest.raises(OSError, match="another instance"):
             await ControlSocket(tmp_path / "c.sock", {}).start()
         control.close()
@@ -247,14 +254,14 @@
         logging.disable(logging.NOTSET)
 
 
-def test_a_socket_left_by_a_crash_is_replaced(tmp_path: Path) -> None:
+def test_stale_socket_of_a_crashed_instance_is_replaced(tmp_path: Path) -> None:
     async def test() -> None:
-        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as left:
-            left.bind(str(tmp_path / "c.sock"))
+        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as stale_socket:
+            stale_socket.bind(str(tmp_path / "c.sock"))
         control = ControlSocket(tmp_path / "c.sock", {"say": verbs})
         await control.start()
-        said = await asyncio.to_thread(ask, tmp_path / "c.sock", {"do": "say", "bad": 1})
-        assert said == {"ok": False, "why": "no such thing"}
+        answer = await asyncio.to_thread(ask, tmp_path / "c.sock", {"do": "say", "bad": 1})
+        assert answer == {"ok": False, "why": "no such thing"}
         control.close()
 
     run(test())
@@ -275,10 +282,10 @@
 # The log
 
 
-def test_lines_are_json_and_a_storm_of_one_event_is_counted() -> None:
+def test_log_lines_are_json_and_repeated_events_are_limited() -> None:
     stream = io.StringIO()
     root = logging.getLogger()
-    before, level = list(root.handlers), root.level
+    previous_handlers, level = list(root.handlers), root.level
     try:
         configure_logging(LogTable(form="json", per_event_per_s=5), stream)
         log = logging.getLogger("here")
@@ -286,7 +293,7 @@
             log.warning("it broke: %d", number)
         log.info("another")
     finally:
-        root.handlers[:] = before
+        root.handlers[:] = previous_handlers
         root.setLevel(level)
     lines = [json.loads(line) for line in stream.getvalue().splitlines()]
     assert 5 <= len(lines) < 12
@@ -295,7 +302,7 @@
     assert lines[0] == {**lines[0], "event": "it broke: 0", "level": "warning"}
 
 
-def test_what_was_left_out_is_told_with_the_next_line_and_events_have_a_bound() -> None:
+def test_dropped_lines_are_counted_and_tracked_events_are_bounded() -> None:
     now = [0.0]
     limit = EventRateLimit(2.0, lambda: now[0])
 
@@ -315,7 +322,7 @@
 # Weights
 
 
-def test_weights_are_factors_beside_the_largest() -> None:
+def test_weights_are_factors_relative_to_the_largest() -> None:
     from dataclasses import replace
 
     weights = Weights()
@@ -327,11 +334,11 @@
     assert weights.admits(0.0, None, PickContext(SAFE))
 
 
-def test_the_platforms_line_needs_none_of_it() -> None:
+def test_platform_proxy_imports_no_package_of_the_extra_cli() -> None:
     code = (
         "import sys; import client_proxy.proxy.program; "
         "print([m for m in sys.modules if m.split('.')[0] in ('pydantic', 'click', 'structlog')])"
     )
-    began = time.monotonic()
+    started_s = time.monotonic()
     ended = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
-    assert ended.stdout.strip() == "[]", (ended.stderr, time.monotonic() - began)
+    assert ended.stdout.strip() == "[]", (ended.stderr, time.monotonic() - started_s)
--- a/tests/cli/test_former_command.py
+++ b/tests/cli/test_former_command.py
@@ -1,4 +1,4 @@
-"""The command's former name does the same as the new one, and says once what the new one is."""
+"""The command's former name runs the same command and prints a notice with the new name once."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("words", [("--help",), ("version",), ("check", "examples/absent.toml")])
-def test_the_former_name_runs_the_same_command_and_says_the_new_name_once(words: tuple[str, ...]) -> None:
+def test_former_name_runs_the_same_command_and_prints_the_new_name_once(words: tuple[str, ...]) -> None:
     scripts = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["scripts"]
     new = run(scripts["client-proxy"], *words)
     former = run(scripts["cedarcross"], *words)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Known failures: tests named in KNOWN-RED.txt run and are printed, and do not fail the whole run."""
+"""Known failures: tests named in KNOWN-RED.txt run and are reported, but do not fail the test run."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class KnownRed(NamedTuple):
-    """One line of the file: a test that fails for a fault which is not mended yet."""
+    """One line of KNOWN-RED.txt: a test that fails because of a fault that is not fixed yet."""
 
     test: str
-    command: str  # that shows the failure
-    seed: str  # that it shows with, or where the test states it
+    command: str  # shell command that reproduces the failure
+    seed: str  # seed that reproduces it, or where the test sets its seed
     seen: str
-    issue: int  # that is open for it
+    issue: int  # number of the open issue
 
 
 def read_known_red(text: str, root: Path = ROOT) -> list[KnownRed]:
-    """Read the entries, a line each in `FORM`.
+    """Reads the entries, one per line in the form of `FORM`.
 
     Args:
         text: The file's content.
@@ -41,15 +41,15 @@
     """
     lines = [line for line in text.splitlines() if line.strip()]
     if len(lines) > MAX_KNOWN_RED:
-        raise ValueError(f"{KNOWN_RED_FILE.name}: {len(lines)} lines, {MAX_KNOWN_RED} at most may land")
+        raise ValueError(f"{KNOWN_RED_FILE.name}: {len(lines)} lines, {MAX_KNOWN_RED} at most are allowed")
     return [_read_entry(line, root) for line in lines]
 
 
 def _read_entry(line: str, root: Path) -> KnownRed:
-    found = ENTRY.fullmatch(line)
-    if found is None:
+    match = ENTRY.fullmatch(line)
+    if match is None:
         raise ValueError(f"{KNOWN_RED_FILE.name}: not in the form {FORM!r}: {line!r}")
-    entry = KnownRed(found["test"], found["command"], found["seed"], found["seen"], int(found["issue"]))
+    entry = KnownRed(match["test"], match["command"], match["seed"], match["seen"], int(match["issue"]))
     path, _, name = entry.test.partition("::")
     function = re.compile(rf"^(async )?def {re.escape(name.partition('[')[0])}\(", re.MULTILINE)
     if not (root / path).is_file() or not function.search((root / path).read_text()):
@@ -57,22 +57,22 @@
     return entry
 
 
-def known_red() -> list[KnownRed]:
-    """The failures that this version is known to have. Raises ValueError."""
+def read_known_failures() -> list[KnownRed]:
+    """Returns the known failures of this version. Raises ValueError if KNOWN-RED.txt is invalid."""
     return read_known_red(KNOWN_RED_FILE.read_text()) if KNOWN_RED_FILE.is_file() else []
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Ends a run whose list of known failures is not in order."""
+    """Ends the test run if the list of known failures is invalid."""
     try:
-        known_red()
+        read_known_failures()
     except ValueError as error:
         raise pytest.UsageError(str(error)) from None
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Marks the named tests, and no others, as expected to fail. A passing one passes."""
-    entries = {entry.test: entry for entry in known_red()}
+    """Marks the listed tests, and no others, as expected to fail. One that passes counts as passed."""
+    entries = {entry.test: entry for entry in read_known_failures()}
     for item in items:
         entry = entries.get(item.nodeid)
         if entry is not None:
@@ -80,13 +80,13 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> Iterator[None] | None:
-    """Prints each known failure with what became of it in this run."""
+    """Prints each known failure with its outcome in this test run."""
     outcomes = {
         report.nodeid: outcome
         for outcome in ("xfailed", "xpassed")
         for report in terminalreporter.stats.get(outcome, [])
     }
-    for entry in known_red():
+    for entry in read_known_failures():
         outcome = outcomes.get(entry.test, "not run")
         terminalreporter.write_line(
             f"known red: {entry.test}: {outcome}: {entry.seen}; issue {entry.issue}; "
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: what it reads, what it writes, and how it ends on bad input."""
+"""The adapter: the messages it reads and writes, and how it ends on invalid input and crashes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 SYNC: Json = {"sync": {"scope": "restored", "revision": 1, "list": 0}}
 
 
-def begin(seed: int = 7) -> Json:
+def start_instance(seed: int = 7) -> Json:
     return {"begin": {"seed": seed, "facts": FACTS}}
 
 
@@ -66,7 +66,7 @@
         "resolved": {"handle": 5, "n": 0, "host": "h1", "verdict": 100, "delay_seen_ms": 9.5, "closed": True}
     }
     code, replies, err = run(
-        batch(1, 10, "proxy_0", begin(), REGISTER, SYNC, request(5)), batch(2, 20, "proxy_0", ok)
+        batch(1, 10, "proxy_0", start_instance(), REGISTER, SYNC, request(5)), batch(2, 20, "proxy_0", ok)
     )
     (sent,) = replies[0]["groups"][0]["cmds"]
     assert sent["try"]["handle"] == 5
@@ -75,40 +75,43 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "says"),
+    ("line", "expected_text"),
     [
         ("{oops", "not JSON"),
         ("[1]", "not an object"),
         ('{"n":1,"groups":[]}', "ts_ms"),
         ('{"ts_ms":1,"n":1,"groups":[{"who":"proxy_0","news":[7]}]}', "one key"),
         ('{"ts_ms":1,"n":1,"groups":[{"who":"proxy_0","news":[{"left":5}]}]}', "not an object"),
-        (batch(1, 1, "proxy_0", begin(), {"new_request": {"handle": 1}}), "give_up_at_ms"),
-        (batch(1, 1, "proxy_0", begin(), {"new_request": {"handle": "x", "give_up_at_ms": 5}}), "handle"),
+        (batch(1, 1, "proxy_0", start_instance(), {"new_request": {"handle": 1}}), "give_up_at_ms"),
+        (
+            batch(1, 1, "proxy_0", start_instance(), {"new_request": {"handle": "x", "give_up_at_ms": 5}}),
+            "handle",
+        ),
         (
             batch(1, 1, "proxy_0", {"begin": {"seed": 1, "facts": {**FACTS, "balancers": 0}}}),
             "settings.balancers",
         ),
         (batch(1, 1, "proxy_0", {"left": {"handle": 1}}), "proxy_0"),
-        (batch(1, 1, "proxy_0", begin(), {"sync": {"scope": "replace", "list": 3}}), "3"),
+        (batch(1, 1, "proxy_0", start_instance(), {"sync": {"scope": "replace", "list": 3}}), "3"),
     ],
 )
-def test_unreadable_line_ends_it_with_one_plain_line(line: str, says: str) -> None:
+def test_unreadable_line_ends_the_adapter_with_one_line(line: str, expected_text: str) -> None:
     code, replies, err = run(line)
     assert code != 0
     assert replies == []
     assert len(err.splitlines()) == 1
-    assert says in err
+    assert expected_text in err
 
 
-def test_unknown_event_is_named_once_and_ignored() -> None:
+def test_unknown_event_is_reported_once_and_ignored() -> None:
     new = {"weather": {"rain": True}}
-    code, replies, err = run(batch(1, 1, "proxy_0", begin(), new, new), batch(2, 2, "proxy_0", new))
+    code, replies, err = run(batch(1, 1, "proxy_0", start_instance(), new, new), batch(2, 2, "proxy_0", new))
     assert code == 0
     assert len(replies) == 2
     assert err.count("weather") == 1
 
 
-def test_every_setting_of_the_wire_arrives_under_its_own_name() -> None:
+def test_every_setting_is_read_into_its_field() -> None:
     bounds = {"cancel": True, "conn_idle_ms": 9.0, "connect_timeout_ms": 8.0, "cpu_us_per_request": 7.0}
     bounds |= {"cpu_us_per_s": 6, "max_attempts": 5, "max_open": 4, "max_retry_after_ms": 3.0}
     bounds |= {"parallel_tries": True, "probes": True, "retry_after": True, "streams_per_conn": 2}
@@ -146,7 +149,7 @@
     assert read.over_quota_weight_share == 0.2
 
 
-def test_absent_optional_settings_leave_their_rules_off() -> None:
+def test_absent_optional_settings_disable_their_rules() -> None:
     read = read_settings(FACTS)
     assert read.safety.attempts is None
     assert read.safety.key_quiet_ms == 0
@@ -154,11 +157,11 @@
     assert not read.warm_keys
 
 
-def test_kill_voids_the_old_life_and_a_new_one_starts_from_nothing() -> None:
+def test_kill_discards_pending_events_and_a_restart_has_no_state() -> None:
     code, replies, _ = run(
-        batch(1, 10, "proxy_0", begin(), REGISTER, SYNC, request(5)),
+        batch(1, 10, "proxy_0", start_instance(), REGISTER, SYNC, request(5)),
         batch(2, 20, "proxy_0", {"left": {"handle": 5}}, request(6), {"power_off": {}}),
-        batch(3, 30, "proxy_0", begin(8), SYNC, {"timeout_fired": {"cookie": 1}}, request(5)),
+        batch(3, 30, "proxy_0", start_instance(8), SYNC, {"timeout_fired": {"cookie": 1}}, request(5)),
     )
     assert code == 0
     assert replies[1]["groups"] == []
@@ -168,24 +171,26 @@
 def test_list_numbers_are_reused_in_event_order() -> None:
     other: Json = {"register": {"list": 0, "members": [{"host": "h9", "lifecycle": "ready"}]}}
     replace: Json = {"sync": {"scope": "replace", "revision": 2, "list": 0}}
-    _, replies, _ = run(batch(1, 10, "proxy_0", begin(), REGISTER, SYNC, other, replace, request(5)))
+    _, replies, _ = run(batch(1, 10, "proxy_0", start_instance(), REGISTER, SYNC, other, replace, request(5)))
     assert replies[0]["groups"][0]["cmds"][0]["try"]["host"] == "h9"
 
 
-def test_crash_of_the_decisions_is_reported_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_crash_of_a_balancer_is_reported_with_its_message(monkeypatch: pytest.MonkeyPatch) -> None:
     def crash(*_: object) -> None:
         raise ZeroDivisionError("a bug")
 
     monkeypatch.setattr(Balancer, "handle", crash)
-    code, replies, err = run(batch(1, 10, "proxy_0", begin(), REGISTER, SYNC))
+    code, replies, err = run(batch(1, 10, "proxy_0", start_instance(), REGISTER, SYNC))
     assert code != 0
     assert "a bug" in err
     assert replies[0]["groups"][0]["cmds"] == [{"give_in": {"message": "ZeroDivisionError: a bug"}}]
 
 
-def day() -> list[str]:
-    """A stretch with two instances, failures and retries."""
-    lines = [batch(0, 0, who, begin(i), REGISTER, SYNC) for i, who in enumerate(("proxy_0", "proxy_1"))]
+def two_instance_batches() -> list[str]:
+    """Returns the batches of a sequence with two instances, failures and retries."""
+    lines = [
+        batch(0, 0, who, start_instance(i), REGISTER, SYNC) for i, who in enumerate(("proxy_0", "proxy_1"))
+    ]
     for i in range(60):
         who, at = f"proxy_{i % 2}", 10.0 * i + 10
         lines.append(batch(i, at, who, request(i, at + 400)))
@@ -195,54 +200,56 @@
     return lines
 
 
-def test_same_actions_in_one_process_and_in_two_whatever_the_hash_seed() -> None:
-    def play(lines: list[str], hash_seed: str) -> dict[str, list[Json]]:
+def test_actions_do_not_depend_on_the_process_or_the_hash_seed() -> None:
+    def run_adapter(lines: list[str], hash_seed: str) -> dict[str, list[Json]]:
         env = {**os.environ, "PYTHONHASHSEED": hash_seed}
         command = [sys.executable, "-m", "client_proxy.adapter"]
         result = subprocess.run(
             command, input="\n".join(lines), env=env, capture_output=True, text=True, check=True
         )
-        done: dict[str, list[Json]] = {"proxy_0": [], "proxy_1": []}
+        actions: dict[str, list[Json]] = {"proxy_0": [], "proxy_1": []}
         for reply in map(json.loads, result.stdout.splitlines()):
             for group in reply["groups"]:
-                done[group["who"]] += group["cmds"]
-        return done
+                actions[group["who"]] += group["cmds"]
+        return actions
 
-    together = play(day(), "1")
-    apart = [play([line for line in day() if who in line], "77")[who] for who in together]
-    assert list(together.values()) == apart
-    assert all(len(cmds) > 30 for cmds in apart)
+    together = run_adapter(two_instance_batches(), "1")
+    separate = [
+        run_adapter([line for line in two_instance_batches() if who in line], "77")[who] for who in together
+    ]
+    assert list(together.values()) == separate
+    assert all(len(cmds) > 30 for cmds in separate)
 
 
-def test_with_the_operators_file_its_balancers_keep_to_their_hall(tmp_path: Path) -> None:
+def test_operators_file_keeps_requests_in_their_zone(tmp_path: Path) -> None:
     members = [
         {"host": f"{hall}{n}", "lifecycle": "ready", "locality": hall}
         for hall in ("a", "b")
         for n in range(3)
     ]
-    own: Json = {"begin": {"seed": 7, "facts": {**FACTS, "zone": "b"}}}
+    start_in_zone_b: Json = {"begin": {"seed": 7, "facts": {**FACTS, "zone": "b"}}}
     sync: Json = {"register": {"list": 0, "members": members}}
-    lines = [batch(1, 10, "proxy_0", own, sync, SYNC)]
+    lines = [batch(1, 10, "proxy_0", start_in_zone_b, sync, SYNC)]
     for n in range(3):
         lines.append(batch(2 + n, 20.0 + n, "proxy_0", request(n)))
     operators = parse_operators("[halls]\n", "o.toml")
 
-    def hosts(given: OperatorSettings) -> list[str]:
+    def chosen_hosts(operators_given: OperatorSettings) -> list[str]:
         out = io.StringIO()
-        assert serve([line + "\n" for line in lines], out, io.StringIO(), given) == 0
+        assert serve([line + "\n" for line in lines], out, io.StringIO(), operators_given) == 0
         cmds = [
             c for reply in out.getvalue().splitlines() for g in json.loads(reply)["groups"] for c in g["cmds"]
         ]
         return [c["try"]["host"] for c in cmds if "try" in c]
 
-    assert {host[0] for host in hosts(operators)} == {"b"}
-    assert {host[0] for host in hosts(OperatorSettings())} == {"a", "b"}
+    assert {host[0] for host in chosen_hosts(operators)} == {"b"}
+    assert {host[0] for host in chosen_hosts(OperatorSettings())} == {"a", "b"}
     bad = tmp_path / "bad.toml"
     bad.write_text("[halls]\npanic = 2\n")
-    done = subprocess.run(
+    actions = subprocess.run(
         [sys.executable, "-m", "client_proxy.adapter", "--operators", str(bad)],
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 2
-    assert f"{bad}:2: halls.panic" in done.stderr
+    assert actions.returncode == 2
+    assert f"{bad}:2: halls.panic" in actions.stderr
--- a/tests/test_checkout.py
+++ b/tests/test_checkout.py
@@ -1,4 +1,4 @@
-"""Checkouts of other versions: found by their own deploy file, and run beside this version."""
+"""Checkouts of other versions: the deploy file names their package, and they run beside this version."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from client_proxy.checkout import CheckoutError, package_name
 from client_proxy.emulator.compare import compare, read_side
-from client_proxy.fault_injection import scenario_runner as drill
+from client_proxy.fault_injection import scenario_runner
 from client_proxy.fault_injection.plan import FleetTable, LoadTable, Plan
 from tests.support.days import day
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def other_version(tmp_path: Path) -> Path:
-    """A checkout whose package has another name, in its modules as in its deploy file."""
+    """A checkout whose package has another name, both in its modules and in its deploy file."""
     checkout = tmp_path / "other"
     package = package_name(ROOT)
     shutil.copytree(ROOT / package, checkout / OTHER_PACKAGE, ignore=shutil.ignore_patterns("__pycache__"))
@@ -36,13 +36,13 @@
     return checkout
 
 
-def test_a_checkout_is_known_by_its_own_deploy_file(other_version: Path) -> None:
+def test_package_name_is_read_from_the_deploy_file(other_version: Path) -> None:
     assert package_name(other_version) == OTHER_PACKAGE
     assert (ROOT / package_name(ROOT) / "proxy" / "__main__.py").is_file()
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected_message"),
     [
         ("run = ", "Invalid value"),
         ('run = "exec something"\n', "run names no proxy module"),
@@ -50,11 +50,11 @@
         ('run = "python -m absent.proxyless"\n', "run names no proxy module"),
     ],
 )
-def test_a_folder_that_cannot_be_started_is_refused_with_its_fault(
-    text: str, said: str, tmp_path: Path
+def test_folder_without_a_startable_build_is_refused_with_the_reason(
+    text: str, expected_message: str, tmp_path: Path
 ) -> None:
     checkout = write_deploy_file(tmp_path / "checkout", text)
-    with pytest.raises(CheckoutError, match=said) as raised:
+    with pytest.raises(CheckoutError, match=expected_message) as raised:
         package_name(checkout)
     assert str(raised.value).startswith(str(checkout))
 
@@ -78,5 +78,5 @@
         fleet=FleetTable(instances=3, racks=3, others={"i1": str(other_version)}),
         load=LoadTable(rate=10),
     )
-    verdict = asyncio.run(drill.run(plan, tmp_path / "out"))
+    verdict = asyncio.run(scenario_runner.run(plan, tmp_path / "out"))
     assert verdict.outcome == "passed", (verdict.why, verdict.breaches[:3])
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Dependencies point downwards, and decisions are made without I/O or a clock of their own."""
+"""Packages import only lower layers, and decision modules have no I/O and no clock of their own."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 ROOT = Path(__file__).resolve().parents[1] / "client_proxy"
 
-# By package, those above it: what it must not import.
+# The packages of higher layers by package, which it must not import.
 ABOVE_PROXY = frozenset({"cli", "emulator", "fault_injection", "scale"})
 ABOVE_DECISIONS = ABOVE_PROXY | {"proxy"}
 FORBIDDEN_PACKAGES = {
@@ -27,10 +27,12 @@
     "proxy": ABOVE_PROXY,
     "emulator": frozenset({"cli", "fault_injection", "scale"}),
 }
-EFFECTS = frozenset({"asyncio", "os", "selectors", "signal", "socket", "subprocess", "threading", "time"})
+SIDE_EFFECT_MODULES = frozenset(
+    {"asyncio", "os", "selectors", "signal", "socket", "subprocess", "threading", "time"}
+)
 DECISION_MODULES = ("token_bucket", "rates", "recovery_probe")
-# By package of decisions, the modules that carry them out: sockets, disks, clocks, commands.
-CARRIERS = {
+# The modules with I/O by decision package: sockets, disks, clocks and commands.
+MODULES_WITH_IO = {
     "api": frozenset[str](),
     "balancer": frozenset[str](),
     "limits": frozenset[str](),
@@ -45,8 +47,8 @@
 }
 
 
-def imported(source: str) -> Iterator[str]:
-    """Every module that a source names in an import, wherever in it the import stands."""
+def imported_modules(source: str) -> Iterator[str]:
+    """Yields every module that a source text imports, including imports inside of functions."""
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -55,41 +57,41 @@
             yield from (f"{node.module}.{alias.name}" for alias in node.names)
 
 
-def packages_of(source: str) -> set[str]:
-    """The project's packages and modules that a source imports."""
-    return {name.split(".")[1] for name in imported(source) if name.startswith("client_proxy.")}
+def project_imports(source: str) -> set[str]:
+    """Returns the project's top-level packages and modules that a source text imports."""
+    return {name.split(".")[1] for name in imported_modules(source) if name.startswith("client_proxy.")}
 
 
-def effects_of(source: str) -> set[str]:
-    """The modules with effects that a source imports."""
-    return {name.split(".")[0] for name in imported(source)} & EFFECTS
+def side_effect_imports(source: str) -> set[str]:
+    """Returns the modules with side effects that a source text imports."""
+    return {name.split(".")[0] for name in imported_modules(source)} & SIDE_EFFECT_MODULES
 
 
-def test_every_package_is_known_to_the_rules_or_stands_at_the_top() -> None:
+def test_every_package_has_a_rule_or_is_in_the_top_layer() -> None:
     packages = {path.parent.name for path in ROOT.glob("*/__init__.py")}
     assert packages - FORBIDDEN_PACKAGES.keys() <= ABOVE_PROXY | {"capacity"}
 
 
 @pytest.mark.parametrize("package", sorted(FORBIDDEN_PACKAGES))
-def test_a_package_imports_nothing_above_it(package: str) -> None:
+def test_a_package_imports_no_higher_layer(package: str) -> None:
     for path in (ROOT / package).rglob("*.py"):
-        assert not packages_of(path.read_text()) & FORBIDDEN_PACKAGES[package], path
+        assert not project_imports(path.read_text()) & FORBIDDEN_PACKAGES[package], path
 
 
-@pytest.mark.parametrize("package", ["", *sorted(CARRIERS)])
-def test_decisions_import_nothing_that_has_effects(package: str) -> None:
+@pytest.mark.parametrize("package", ["", *sorted(MODULES_WITH_IO)])
+def test_decision_modules_import_nothing_with_side_effects(package: str) -> None:
     if package:
-        paths = [path for path in (ROOT / package).rglob("*.py") if path.stem not in CARRIERS[package]]
+        paths = [path for path in (ROOT / package).rglob("*.py") if path.stem not in MODULES_WITH_IO[package]]
     else:
         paths = [ROOT / f"{name}.py" for name in DECISION_MODULES]
     assert paths
     for path in paths:
-        assert not effects_of(path.read_text()), path
+        assert not side_effect_imports(path.read_text()), path
 
 
-def test_imports_are_found_wherever_they_stand() -> None:
+def test_imports_inside_functions_are_found() -> None:
     source = (
         "def f():\n    from client_proxy.proxy import clock\n    import time as t\nfrom os.path import join\n"
     )
-    assert packages_of(source) == {"proxy"}
-    assert effects_of(source) == {"time", "os"}
+    assert project_imports(source) == {"proxy"}
+    assert side_effect_imports(source) == {"time", "os"}
--- a/tests/test_extras.py
+++ b/tests/test_extras.py
@@ -1,4 +1,4 @@
-"""What an optional part says where its packages are not installed."""
+"""Commands whose optional packages are not installed say in one line what to install."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 ROOT = Path(__file__).resolve().parents[1]
 DAY = ROOT / "examples" / "days" / "calm-morning.toml"
 
-# As if they were not installed: no finder of ours gives them, and nothing else is asked.
-WITHOUT = """
+# Runs a module as if some packages were not installed: the path finder, which finds them, hides them.
+HIDE_PACKAGES_SCRIPT = """
 import runpy, sys
 from importlib.machinery import PathFinder
 
@@ -28,9 +28,9 @@
 """
 
 
-def without(hidden: str, *command: str) -> subprocess.CompletedProcess[str]:
+def run_without_packages(hidden: str, *command: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-c", WITHOUT, hidden, *command],
+        [sys.executable, "-c", HIDE_PACKAGES_SCRIPT, hidden, *command],
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -49,17 +49,19 @@
         ("matplotlib", ["benchmarks.fleet_size", "--page", "page.html"], "plots"),
     ],
 )
-def test_one_line_says_what_to_install(tmp_path: Path, hidden: str, command: list[str], extra: str) -> None:
+def test_one_line_names_the_extra_to_install(
+    tmp_path: Path, hidden: str, command: list[str], extra: str
+) -> None:
     file = tmp_path / "operators.toml"
     file.write_text('[gossip]\nkeys = "k"\nlisten = "127.0.0.1:1"\nseeds = ["127.0.0.1:2"]\n')
-    ended = without(hidden, *(str(file) if word == "FILE" else word for word in command))
-    assert ended.returncode == 2
-    assert ended.stderr.count("\n") == 1
-    assert f"pip install .[{extra}]" in ended.stderr
-    assert all(name in ended.stderr for name in hidden.split(","))
+    result = run_without_packages(hidden, *(str(file) if word == "FILE" else word for word in command))
+    assert result.returncode == 2
+    assert result.stderr.count("\n") == 1
+    assert f"pip install .[{extra}]" in result.stderr
+    assert all(name in result.stderr for name in hidden.split(","))
 
 
-def test_with_everything_installed_nothing_is_said() -> None:
-    ended = without("none", "client_proxy.cli", "version")
-    assert ended.returncode == 0
-    assert "extra" not in ended.stderr
+def test_nothing_is_reported_if_all_packages_are_installed() -> None:
+    result = run_without_packages("none", "client_proxy.cli", "version")
+    assert result.returncode == 0
+    assert "extra" not in result.stderr
--- a/tests/test_import_contracts.py
+++ b/tests/test_import_contracts.py
@@ -1,4 +1,4 @@
-"""The import contracts of pyproject.toml fail on an import that they forbid."""
+"""The import contracts of pyproject.toml hold, and each fails on an import that it forbids."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 EFFECTS = "Decisions have no I/O and no clock"
 CYCLES = "No cycles within a package"
 
-PLANTED = {
+FORBIDDEN_IMPORTS = {
     "a decision module that imports the proxy": ("limits/priority.py", "client_proxy.proxy.config", LAYERS),
     "a foundation that imports a decision": ("clock.py", "client_proxy.limits.priority", LAYERS),
     "a balancer that waits": ("balancer/balancer.py", "asyncio", EFFECTS),
@@ -28,13 +28,13 @@
 
 @pytest.fixture
 def checkout(tmp_path: Path) -> Path:
-    """A copy of the package with its contracts."""
+    """A copy of the package and of its contracts."""
     shutil.copytree(ROOT / "client_proxy", tmp_path / "client_proxy")
     shutil.copy(ROOT / "pyproject.toml", tmp_path)
     return tmp_path
 
 
-def lint(checkout: Path) -> subprocess.CompletedProcess[str]:
+def run_lint_imports(checkout: Path) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [str(Path(sys.executable).with_name("lint-imports")), "--no-cache"],
         cwd=checkout,
@@ -45,18 +45,18 @@
     )
 
 
-def test_the_contracts_hold(checkout: Path) -> None:
-    linted = lint(checkout)
-    assert linted.returncode == 0, linted.stdout
+def test_all_contracts_hold(checkout: Path) -> None:
+    result = run_lint_imports(checkout)
+    assert result.returncode == 0, result.stdout
     for contract in (LAYERS, EFFECTS, CYCLES):
-        assert f"{contract} KEPT" in linted.stdout
+        assert f"{contract} KEPT" in result.stdout
 
 
-@pytest.mark.parametrize("planted", PLANTED)
-def test_a_planted_import_breaks_its_contract(planted: str, checkout: Path) -> None:
-    file, imported, contract = PLANTED[planted]
+@pytest.mark.parametrize("case", FORBIDDEN_IMPORTS)
+def test_a_forbidden_import_breaks_its_contract(case: str, checkout: Path) -> None:
+    file, imported, contract = FORBIDDEN_IMPORTS[case]
     path = checkout / "client_proxy" / file
     path.write_text(f"{path.read_text()}\nimport {imported}\n")
-    linted = lint(checkout)
-    assert linted.returncode == 1, linted.stdout
-    assert f"{contract} BROKEN" in linted.stdout
+    result = run_lint_imports(checkout)
+    assert result.returncode == 1, result.stdout
+    assert f"{contract} BROKEN" in result.stdout
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example of embedding runs as it stands."""
+"""The README's example of embedding the library runs unchanged."""
 
 import re
 from pathlib import Path
