--- a/client_proxy/adapter.py
+++ b/client_proxy/adapter.py
@@ -49,6 +49,7 @@
 from client_proxy.settings import Json, read_settings
 from client_proxy.toml_table import TomlError
 
+# Outcomes by their code in the simulator's protocol.
 OUTCOMES = {
     100: Outcome.OK,
     301: Outcome.ERROR,
@@ -65,7 +66,7 @@
     "restored": ListKind.RESTORED,
     "unavailable": ListKind.FAILED,
 }
-WORK_HINT_VALID_FLAG, CLIENT_RETRY_FLAG = 1, 2
+WORK_HINT_VALID_FLAG, CLIENT_RETRY_FLAG = 1, 2  # bits of a request's `flags`
 
 
 class WireError(ValueError):
--- a/client_proxy/cli/control.py
+++ b/client_proxy/cli/control.py
@@ -32,7 +32,10 @@
 
 
 class ControlSocket:
-    """Answers `{"do": VERB, ...}` with `{"ok": true, ...}` or `{"ok": false, "why": ...}`."""
+    """Serves the control socket.
+
+    It answers `{"do": VERB, ...}` with `{"ok": true, ...}` or `{"ok": false, "why": ...}`.
+    """
 
     def __init__(self, path: Path, handlers: dict[str, CommandHandler]) -> None:
         self._path, self._handlers = path, handlers
--- a/client_proxy/cli/instance_factory.py
+++ b/client_proxy/cli/instance_factory.py
@@ -31,7 +31,7 @@
 
 log = logging.getLogger(__name__)
 
-SEED_MASK = 0xFFFFFFFF
+SEED_MASK = 0xFFFFFFFF  # seeds have 32 bits
 
 Notify = Callable[[EndpointsListed], None]
 
@@ -120,7 +120,7 @@
         settings = read_settings(settings_document(self._instance_file.file, policy))
         self.daemon.adopt(settings, operators, message, (Weights(),))
 
-    # Start and end
+    # Start and shutdown
 
     async def start(self) -> int:
         """Starts to serve. Returns the port. Raises OSError if an address can't be bound."""
--- a/client_proxy/cli/logs.py
+++ b/client_proxy/cli/logs.py
@@ -61,7 +61,7 @@
 
 
 def configure_logging(settings: LogTable, stream: TextIO = sys.stderr) -> logging.Handler:
-    """Replaces the handlers of the root logger with one of the stated form, and returns it."""
+    """Replaces the handlers of the root logger with one that has the form of the settings. Returns it."""
     event_processors: list[Any] = [
         structlog.stdlib.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
--- a/client_proxy/cli/policy.py
+++ b/client_proxy/cli/policy.py
@@ -18,7 +18,7 @@
 SOCKET = click.Path(path_type=Path)
 EXIT_REFUSED = 1
 POLL_INTERVAL_S = 0.1  # between queries for the result of a change
-RISK = """\
+RESCUE_WARNING = """\
 This makes the newest policy that is stored here the first of a new generation. Do it only when a majority
 of the seats is permanently lost. The risks:
 - if a majority of the seats still runs somewhere, it continues with its own policy beside yours, for ever;
@@ -211,7 +211,7 @@
     pending = (
         f" (this seat had voted for one: {recovered.pending_change})" if recovered.pending_change else ""
     )
-    click.echo(RISK.format(pending=pending), err=True)
+    click.echo(RESCUE_WARNING.format(pending=pending), err=True)
     click.echo(f"stored here: version {recovered.version}, {recovered.digest}", err=True)
     if not yes:
         raise click.ClickException("nothing was changed; repeat with --yes to continue")
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -118,17 +118,18 @@
 def test_instance_serves_holds_back_a_list_and_shuts_down(tmp_path: Path) -> None:
     """A serving process: its status, a suspicious list that is held back and then forced, and SIGTERM."""
 
-    async def hosts() -> list[Host]:
+    async def start_hosts() -> list[Host]:
         return [await Host(f"h{n}").start() for n in range(3)]
 
     async def test() -> None:
         from client_proxy.config.fleet import seal
 
-        made = await hosts()
+        running_hosts = await start_hosts()
 
         def servers(count: int, version: int) -> bytes:
             tables = (
-                f'[[server]]\nname = "{h.name}"\naddress = "127.0.0.1:{h.port}"\n' for h in made[:count]
+                f'[[server]]\nname = "{h.name}"\naddress = "127.0.0.1:{h.port}"\n'
+                for h in running_hosts[:count]
             )
             return seal("".join(tables).encode(), version)
 
@@ -181,7 +182,7 @@
         events = [json.loads(line) for line in (tmp_path / "log").read_text().splitlines()]
         assert any("held back, the old list stands" in e["event"] for e in events)
         assert all({"event", "level", "timestamp", "where"} <= set(e) for e in events)
-        for host in made:
+        for host in running_hosts:
             host.stop()
 
     run(test())
@@ -202,7 +203,7 @@
 # The control socket
 
 
-def verbs(question: dict[str, object]) -> dict[str, object]:
+def answer_or_raise(question: dict[str, object]) -> dict[str, object]:
     if question.get("bad"):
         raise CommandError("no such thing")
     if question.get("worse"):
@@ -212,7 +213,7 @@
 
 def test_control_socket_withstands_a_thousand_good_and_bad_callers(tmp_path: Path) -> None:
     async def test() -> None:
-        control = ControlSocket(tmp_path / "c.sock", {"say": verbs})
+        control = ControlSocket(tmp_path / "c.sock", {"say": answer_or_raise})
         await control.start()
         silent_callers = []
         for _ in range(MAX_CALLERS):  # they connect and send nothing
@@ -258,7 +259,7 @@
     async def test() -> None:
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as stale_socket:
             stale_socket.bind(str(tmp_path / "c.sock"))
-        control = ControlSocket(tmp_path / "c.sock", {"say": verbs})
+        control = ControlSocket(tmp_path / "c.sock", {"say": answer_or_raise})
         await control.start()
         answer = await asyncio.to_thread(ask, tmp_path / "c.sock", {"do": "say", "bad": 1})
         assert answer == {"ok": False, "why": "no such thing"}
@@ -274,7 +275,7 @@
     lambda each: st.lists(each, max_size=3) | st.dictionaries(st.sampled_from(["do", "x"]), each, max_size=2),
 ).map(lambda value: json.dumps(value).encode())))  # fmt: skip
 def test_any_question_gets_an_answer(line: bytes) -> None:
-    answer = ControlSocket(Path("unused"), {"say": verbs}).answer(line)
+    answer = ControlSocket(Path("unused"), {"say": answer_or_raise}).answer(line)
     assert isinstance(answer["ok"], bool)
     assert json.dumps(answer)
 
--- a/tests/cli/test_policy.py
+++ b/tests/cli/test_policy.py
@@ -22,7 +22,7 @@
 from client_proxy.toml_table import TomlError
 
 
-def instance(folder: Path, member: int, seats: tuple[int, ...] = (1, 2, 3)) -> Path:
+def write_instance_file(folder: Path, member: int, seats: tuple[int, ...] = (1, 2, 3)) -> Path:
     authority = Ed25519(derive_secret(1, "authority"))
     secret = derive_secret(1, f"member {member}")
     certificate = issue_certificate(authority, 1, member, "h", 1, Ed25519(secret).public_key)
@@ -46,19 +46,19 @@
 
 
 def test_policy_init_works_once_and_only_for_a_member_with_a_seat(tmp_path: Path) -> None:
-    path = instance(tmp_path, 2)
+    path = write_instance_file(tmp_path, 2)
     assert run_command("policy", "init", "--config", str(path)) == (0, "member 2 votes from now on\n")
     code, output = run_command("policy", "init", "--config", str(path))
     assert code == 1
     assert "has its memory already" in output
     (tmp_path / "four").mkdir()
-    code, output = run_command("policy", "init", "--config", str(instance(tmp_path / "four", 4)))
+    code, output = run_command("policy", "init", "--config", str(write_instance_file(tmp_path / "four", 4)))
     assert code == 1
     assert "member 4 has no seat" in output
 
 
 def test_instance_file_needs_exactly_one_source_of_servers(tmp_path: Path) -> None:
-    path = instance(tmp_path, 2)
+    path = write_instance_file(tmp_path, 2)
     path.write_text('discovery = "127.0.0.1:1"\n' + path.read_text())
     with pytest.raises(TomlError, match="one of"):
         load_instance_file(path)
@@ -93,7 +93,7 @@
 
 
 def test_new_memory_of_a_member_must_be_voted_in(tmp_path: Path) -> None:
-    path = instance(tmp_path, 2)
+    path = write_instance_file(tmp_path, 2)
     code, output = run_command("policy", "init", "--config", str(path), "--anew")
     assert code == 0
     assert "vote it in" in output
@@ -104,7 +104,7 @@
     assert memory.acceptor_id not in memory.decided.version.acceptors
     # A member that already has a seat gets no second memory of votes, which could vote twice.
     (tmp_path / "b").mkdir()
-    seated = instance(tmp_path / "b", 2)
+    seated = write_instance_file(tmp_path / "b", 2)
     assert run_command("policy", "init", "--config", str(seated))[0] == 0
     code, output = run_command("policy", "init", "--config", str(seated), "--anew")
     assert code == 1
@@ -112,7 +112,7 @@
 
 
 def test_rescue_needs_yes_and_starts_above_all_former_versions(tmp_path: Path) -> None:
-    path = instance(tmp_path, 2)
+    path = write_instance_file(tmp_path, 2)
     run_command("policy", "init", "--config", str(path))
     store = Store(Folder(tmp_path / "agreed"))
     seats = tuple(AcceptorId(n, 1) for n in (1, 2, 3))
--- a/tests/compatibility/test_control_answers.py
+++ b/tests/compatibility/test_control_answers.py
@@ -16,7 +16,7 @@
 from client_proxy.cli.instance_file import load_instance_file
 from client_proxy.consensus.changes import ChangeOutcome, ChangeResult
 from client_proxy.consensus.control_answers import result_answer
-from tests.cli.test_policy import instance as agreed_instance
+from tests.cli.test_policy import write_instance_file as agreed_instance
 from tests.compatibility import edge_objects as objects
 
 WATCHED = """\
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -246,10 +246,10 @@
     assert {host[0] for host in chosen_hosts(OperatorSettings())} == {"a", "b"}
     bad = tmp_path / "bad.toml"
     bad.write_text("[halls]\npanic = 2\n")
-    actions = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "client_proxy.adapter", "--operators", str(bad)],
         capture_output=True,
         text=True,
     )
-    assert actions.returncode == 2
-    assert f"{bad}:2: halls.panic" in actions.stderr
+    assert result.returncode == 2
+    assert f"{bad}:2: halls.panic" in result.stderr
