--- a/client_proxy/cli/policy.py
+++ b/client_proxy/cli/policy.py
@@ -54,8 +54,8 @@
         ClickException: The instance refuses the question, or there is no result after `wait_s` seconds.
     """
     change_name = ask_instance(socket, question)["change"]
-    end_s = time.monotonic() + wait_s
-    while time.monotonic() < end_s:
+    timeout_at_s = time.monotonic() + wait_s
+    while time.monotonic() < timeout_at_s:
         results = ask_instance(socket, {"do": "status"})["agreement"]["changes"]
         result = next((each for each in reversed(results) if each["change"] == change_name), None)
         if result is not None:
--- a/client_proxy/toml_table.py
+++ b/client_proxy/toml_table.py
@@ -61,8 +61,10 @@
     def fault(self, table: str, number: int, key: str, what: str) -> None:
         """Records a fault at a key of a table; `number` is its index in an array of tables."""
         full_key = f"{table}.{key}" if table and key else table or key
-        found = self._line_numbers.get
-        line = found((table, number, key)) or found((full_key, 0, "")) or found((table, number, "")) or 1
+        line_of = self._line_numbers.get
+        line = (
+            line_of((table, number, key)) or line_of((full_key, 0, "")) or line_of((table, number, "")) or 1
+        )
         self.faults.append((line, f"{self.name}:{line}: {full_key}: {what}"))
 
     def top(self) -> Table:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -62,11 +62,11 @@
 def test_check_reports_all_faults_of_all_files(tmp_path: Path) -> None:
     config, servers = tmp_path / "proxy.toml", tmp_path / "servers.toml"
     config.write_text(CONFIG)
-    servers.write_bytes(sealed(3))
+    servers.write_bytes(sealed_file(3))
     code, output = run_command("config", "check", str(config))
     assert code == 0
     assert "an instance with 1 classes, and 5 servers, 5 of them usable, sealed" in output
-    servers.write_bytes(sealed(3)[:-30])
+    servers.write_bytes(sealed_file(3)[:-30])
     config.write_text(CONFIG.replace("aim_ms", "aim").replace("look_ms = 5", "look_ms = 0"))
     code, output = run_command("config", "check", str(config), str(servers), "--json")
     results = json.loads(output)
@@ -80,11 +80,11 @@
     from client_proxy.config.version_store import Folder, VersionStore
 
     servers, kept = tmp_path / "servers.toml", VersionStore(Folder(tmp_path / "kept"))
-    servers.write_bytes(text(3))
+    servers.write_bytes(server_tables(3))
     assert run_command("config", "seal", str(servers))[0] == 0
     first = servers.read_bytes()
     kept.save(first)
-    assert read_fleet(first, "f").version == 1
+    assert read_server_list(first, "f").version == 1
     servers.write_bytes(first.replace(b"8002", b"8099"))  # edited without a new seal
     assert run_command("config", "check", str(servers))[0] == 2
     assert run_command("config", "seal", str(servers))[0] == 0
@@ -101,9 +101,9 @@
         "number 2  version 2  servers 3",
     ]
     assert run_command("config", "rollback", str(servers), str(tmp_path / "kept"))[0] == 0
-    restored = read_fleet(servers.read_bytes(), "f")
+    restored = read_server_list(servers.read_bytes(), "f")
     assert restored.version == 3
-    assert restored.servers == read_fleet(first, "f").servers
+    assert restored.servers == read_server_list(first, "f").servers
     assert run_command("config", "rollback", str(servers), str(tmp_path / "kept"), "--to", "9")[0] == 2
 
 
--- a/tests/cli/test_policy.py
+++ b/tests/cli/test_policy.py
@@ -67,25 +67,30 @@
 def test_proposal_waits_for_its_result_and_prints_it(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     file = tmp_path / "new.toml"
     file.write_text("")
-    asked: list[dict[str, Any]] = []
-    ended: list[dict[str, Any]] = []
+    change_questions: list[dict[str, Any]] = []
+    ended_changes: list[dict[str, Any]] = []
 
     def ask(socket: Path, question: dict[str, Any]) -> dict[str, Any]:
-        asked.append(question)
+        change_questions.append(question)
         if question["do"] == "propose":
-            ended.append({"change": "rack 7", "what": "refused", "refused": {"4": "no such class"}})
+            ended_changes.append({"change": "rack 7", "what": "refused", "refused": {"4": "no such class"}})
             return {"ok": True, "change": "rack 7"}
-        return {"ok": True, "agreement": {"changes": ended}}
+        return {"ok": True, "agreement": {"changes": ended_changes}}
 
     monkeypatch.setattr(policy_commands, "ask_instance", ask)
     arguments = ("policy", "propose", "s.sock", str(file), "--why", "rack 7", "--after", "4")
     code, output = run_command(*arguments)
     assert code == 1
     assert json.loads(output)["refused"] == {"4": "no such class"}
-    assert asked[0].items() >= {"do": "propose", "file": str(file), "why": "rack 7", "after": 4}.items()
-    ended[:] = [{"change": "rack 7", "what": "decided"}]
+    assert (
+        change_questions[0].items()
+        >= {"do": "propose", "file": str(file), "why": "rack 7", "after": 4}.items()
+    )
+    ended_changes[:] = [{"change": "rack 7", "what": "decided"}]
     monkeypatch.setattr(
-        policy_commands, "ask_instance", lambda s, q: {"change": "rack 7", "agreement": {"changes": ended}}
+        policy_commands,
+        "ask_instance",
+        lambda s, q: {"change": "rack 7", "agreement": {"changes": ended_changes}},
     )
     assert run_command(*arguments)[0] == 0
     monkeypatch.setattr(policy_commands, "ask_instance", lambda s, q: {"ok": True})
@@ -162,11 +167,11 @@
     assert code == 0
     assert "rack 7" in output
     assert "no rollback" in output
-    asked = [q for q in questions if q["do"] not in ("status", "history")]
-    assert [q["do"] for q in asked] == ["back", "seat", "seat", "withdraw"]
-    assert asked[1]["add"] == {"member": 4, "memory": 9}
-    assert asked[2]["remove"] == 4
-    assert all(q["who"] == "ann" and q["why"] == "rack 7" for q in asked[:3])
+    change_questions = [q for q in questions if q["do"] not in ("status", "history")]
+    assert [q["do"] for q in change_questions] == ["back", "seat", "seat", "withdraw"]
+    assert change_questions[1]["add"] == {"member": 4, "memory": 9}
+    assert change_questions[2]["remove"] == 4
+    assert all(q["who"] == "ann" and q["why"] == "rack 7" for q in change_questions[:3])
 
 
 def test_policy_check_contacts_no_instance(tmp_path: Path) -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,11 +25,11 @@
     test: str
     command: str  # shell command that reproduces the failure
     seed: str  # seed that reproduces it, or where the test sets its seed
-    seen: str
+    seen: str  # the failure as it was observed
     issue: int  # number of the open issue
 
 
-def read_known_red(text: str, root: Path = ROOT) -> list[KnownRed]:
+def parse_known_failures(text: str, root: Path = ROOT) -> list[KnownRed]:
     """Reads the entries, one per line in the form of `FORM`.
 
     Args:
@@ -59,7 +59,7 @@
 
 def read_known_failures() -> list[KnownRed]:
     """Returns the known failures of this version. Raises ValueError if KNOWN-RED.txt is invalid."""
-    return read_known_red(KNOWN_RED_FILE.read_text()) if KNOWN_RED_FILE.is_file() else []
+    return parse_known_failures(KNOWN_RED_FILE.read_text()) if KNOWN_RED_FILE.is_file() else []
 
 
 def pytest_configure(config: pytest.Config) -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.conftest import MAX_KNOWN_RED, ROOT, read_known_failures, read_known_red
+from tests.conftest import MAX_KNOWN_RED, ROOT, parse_known_failures, read_known_failures
 
 TEST = "tests/test_known_red.py::test_an_entry_is_read"
 COMMAND, SEED, SEEN, ISSUE = "command: pytest tests", "seed: 7", "seen: it fails; always", "issue 45"
@@ -16,7 +16,7 @@
 
 
 def test_an_entry_is_read() -> None:
-    (entry,) = read_known_red("; ".join((TEST, COMMAND, SEED, SEEN, ISSUE)) + "\n")
+    (entry,) = parse_known_failures("; ".join((TEST, COMMAND, SEED, SEEN, ISSUE)) + "\n")
     assert entry == (TEST, "pytest tests", "7", "it fails; always", 45)
 
 
@@ -24,16 +24,16 @@
 def test_an_entry_with_a_missing_part_is_refused(missing: str) -> None:
     parts = [part for part in (TEST, COMMAND, SEED, SEEN, ISSUE) if part != missing]
     with pytest.raises(ValueError, match=r"KNOWN-RED\.txt: not in the form"):
-        read_known_red("; ".join(parts))
+        parse_known_failures("; ".join(parts))
 
 
 @pytest.mark.parametrize("test", ["tests/test_none.py::test_a", "tests/test_known_red.py::test_none"])
 def test_an_entry_whose_test_does_not_exist_is_refused(test: str) -> None:
     with pytest.raises(ValueError, match="there is no test"):
-        read_known_red("; ".join((test, COMMAND, SEED, SEEN, ISSUE)))
+        parse_known_failures("; ".join((test, COMMAND, SEED, SEEN, ISSUE)))
 
 
 def test_a_list_that_is_too_long_is_refused() -> None:
     text = "\n".join(["; ".join((TEST, COMMAND, SEED, SEEN, ISSUE))] * (MAX_KNOWN_RED + 1))
     with pytest.raises(ValueError, match="3 at most are allowed"):
-        read_known_red(text)
+        parse_known_failures(text)
