--- a/client_proxy/scale/command.py
+++ b/client_proxy/scale/command.py
@@ -8,7 +8,7 @@
 import time
 from pathlib import Path
 
-from client_proxy.optional_dependencies import lacking, require
+from client_proxy.optional_dependencies import missing_packages_message, require
 
 require("client-proxy scale", "rig", "rich", "pydantic", "httptools", "msgspec", "cryptography")
 
@@ -38,7 +38,7 @@
     """Run the plan in FILE. Exit code 0: passed; 1: a hollow instance died, is overloaded or does not report;
     2: the file is invalid or asks for too much; 3: the run itself failed; 4: the machine was too busy."""
     if page is not None:
-        missing = lacking("--page", "plots", "matplotlib")
+        missing = missing_packages_message("--page", "plots", "matplotlib")
         if missing:
             raise click.UsageError(missing)
     scale_plan = plan.load(file)
--- a/client_proxy/scale/hollow.py
+++ b/client_proxy/scale/hollow.py
@@ -16,10 +16,10 @@
 
 from client_proxy.address import Address, read_address
 from client_proxy.api.events import EndpointsListed
-from client_proxy.cli.control import Control, Json
+from client_proxy.cli.control import ControlSocket, Json
 from client_proxy.cli.errors import CommandError
 from client_proxy.cli.instance_file import load_instance_file, settings_document
-from client_proxy.cli.logs import set_up
+from client_proxy.cli.logs import configure_logging
 from client_proxy.clock import now_ms
 from client_proxy.config.models import ServeFile
 from client_proxy.config.policy import Policy
@@ -80,10 +80,10 @@
         if discovery is not None:
             self._discovered = EndpointDirectory()
             self._discovery = Discovery(discovery, False, self._discovered, _ignore)
-        self._control: Control | None = None
+        self._control: ControlSocket | None = None
         if instance_file.file.control:
             handlers = {"status": self._status, "propose": self._propose}
-            self._control = Control(instance_file.beside(instance_file.file.control), handlers)
+            self._control = ControlSocket(instance_file.resolve_path(instance_file.file.control), handlers)
 
     async def start(self) -> None:
         await self.source.bind()
@@ -266,7 +266,7 @@
 
     from client_proxy.config.models import LogTable
 
-    set_up(LogTable(form="json", per_event_per_s=20.0))
+    configure_logging(LogTable(form="json", per_event_per_s=20.0))
     logging.getLogger("client_proxy").setLevel(logging.INFO)
     asyncio.set_event_loop_policy(uvloop.EventLoopPolicy())  # the loop that a real instance uses
     serve(orders)
--- a/tests/emulator/test_zones.py
+++ b/tests/emulator/test_zones.py
@@ -12,7 +12,7 @@
 from client_proxy.emulator.proxy_settings import proxy_settings
 from client_proxy.emulator.report import Report, build_report
 from client_proxy.emulator.simulation import SimulationResult, simulate
-from client_proxy.operators import Operators
+from client_proxy.operators import OperatorSettings
 from client_proxy.routing.settings import LocalitySettings
 from tests.support.days import UNSAFE, day, incident, text
 
@@ -30,11 +30,11 @@
     for rack, hall in enumerate(("east", "middle", "west"))
 )
 CLIENTS = "proxies = 3\nrate_per_s = 150\nretries = 2\ntry_share = 0.6\nbackoff_ms = 100"
-LOCALITY_ON = Operators(LocalitySettings(ramp_s=4.0))
+LOCALITY_ON = OperatorSettings(LocalitySettings(ramp_s=4.0))
 
 
 def simulate_three_zones(
-    incidents: str, length_s: float, operators: Operators = LOCALITY_ON
+    incidents: str, length_s: float, operators: OperatorSettings = LOCALITY_ON
 ) -> tuple[SimulationResult, Report]:
     scenario_text = text(incidents, length_s, CLIENTS, SERVER_TYPE, SERVERS).replace(
         'halls = ["east", "west"]', 'halls = ["east", "middle", "west"]'
@@ -84,7 +84,7 @@
     assert not report.broken
     assert report.served_share > 0.99
     assert cross_zone_share(result, 2.0, 6.0) < 0.15
-    without, _ = simulate_three_zones("", 6.0, Operators())
+    without, _ = simulate_three_zones("", 6.0, OperatorSettings())
     assert cross_zone_share(without, 2.0, 6.0) > 0.5
 
 
@@ -105,7 +105,7 @@
 
 
 def test_the_spillover_limit_rejects_nothing_that_idle_servers_could_serve() -> None:
-    low_limit = Operators(LocalitySettings(spillover_share=0.01))
+    low_limit = OperatorSettings(LocalitySettings(spillover_share=0.01))
     result, report = simulate_three_zones(incident("vanish", 4.0, hall="west"), 16.0, low_limit)
     assert not report.broken
     # A zone of two servers with two cores can serve 160 requests a second; the two zones left can serve twice
