--- a/client_proxy/emulator/__main__.py
+++ b/client_proxy/emulator/__main__.py
@@ -158,7 +158,13 @@
         "least_served": shares[0] if shares else None,
         "median_served": shares[len(shares) // 2] if shares else None,
         "findings": [
-            {"seed": f.seed, "verdict": str(f.verdict), "served": f.served, "file": f.file, "plays": f.plays}
+            {
+                "seed": f.seed,
+                "verdict": str(f.verdict),
+                "served": f.served,
+                "file": f.file,
+                "plays": f.minimization_runs,
+            }
             for f in findings
         ],
     }
--- a/client_proxy/emulator/explore.py
+++ b/client_proxy/emulator/explore.py
@@ -36,7 +36,7 @@
         """Return whether the run is a finding."""
         return bool(self.rules) or self.low_service or self.crashed
 
-    def worse_than(self, other: Verdict) -> bool:
+    def includes(self, other: Verdict) -> bool:
         """Return whether it shows all that the other one shows."""
         return (
             set(other.rules) <= set(self.rules)
@@ -56,14 +56,14 @@
 
     Attributes:
         served: the served share of the variation before it was minimized.
-        plays: runs that the minimization took.
+        minimization_runs: runs that the minimization took.
     """
 
     seed: int
     verdict: Verdict
     served: float
     file: str
-    plays: int
+    minimization_runs: int
 
 
 @dataclass(frozen=True)
@@ -181,7 +181,7 @@
             if runs >= max_runs:
                 break
             runs += 1
-            if run(candidate).worse_than(verdict):
+            if run(candidate).includes(verdict):
                 scenario, reduced = candidate, True
                 break
     return scenario, runs
--- a/client_proxy/emulator/fault_schedule.py
+++ b/client_proxy/emulator/fault_schedule.py
@@ -54,7 +54,7 @@
 """A run that shows more is ended."""
 MAX_REPLAYED_DATAGRAMS = 300
 CHECKED_CLASS = "entry-register"
-QUICK = GossipSettings(swim=SwimSettings(period_ms=500.0, timeout_ms=150.0, sync_ms=2000.0))
+FAST_GOSSIP = GossipSettings(swim=SwimSettings(period_ms=500.0, timeout_ms=150.0, sync_ms=2000.0))
 
 ClusterAction = Callable[[SimulatedCluster], object]
 Address = tuple[str, int]
@@ -288,7 +288,7 @@
     cluster = SimulatedCluster(
         schedule.instances,
         seed=schedule.seed,
-        gossip=QUICK,
+        gossip=FAST_GOSSIP,
         node_types=schedule.byzantine_reporters,
         network=schedule.network,
         fast_signatures=True,
--- a/client_proxy/emulator/simulation.py
+++ b/client_proxy/emulator/simulation.py
@@ -118,7 +118,7 @@
         for spec in scenario.servers():
             self.servers[spec.name] = EmulatedServer(self, spec)
         self.registry = Registry(self)
-        self.lifecycle = ServerLifecycle(self, self.servers, self.registry, self.timeline, self.since_ms)
+        self.lifecycle = ServerLifecycle(self, self.servers, self.registry, self.timeline, self.unix_ms)
         self.fault_player = FaultPlayer(
             scenario, loop, self.timeline, self.servers, self.proxies, self.registry, self.lifecycle
         )
@@ -189,7 +189,7 @@
         self.timeline.mark(f"{name} fell over")
         self.loop.call_soon(self.lifecycle.kill, self.servers[name])
 
-    def since_ms(self) -> int:
+    def unix_ms(self) -> int:
         """Return the Unix time in milliseconds."""
         return round(self.unix_s() * 1000.0)
 
--- a/client_proxy/fault_injection/servers.py
+++ b/client_proxy/fault_injection/servers.py
@@ -80,7 +80,7 @@
         arrivals = stage.event_log.arrivals = Arrivals(writer)
         for server in stage.servers.values():
             server.prepare()
-            server.start(cold=order["cold"], since_ms=stage.since_ms())
+            server.start(cold=order["cold"], since_ms=stage.unix_ms())
         made["stage"] = stage
 
         async def sweeps() -> None:
--- a/tests/emulator/test_explore.py
+++ b/tests/emulator/test_explore.py
@@ -42,7 +42,7 @@
         small = load_scenario(each.file)
         assert [i.kind for i in small.faults] == ["fail"]
         verdict = simulate_and_evaluate(small)
-        assert verdict.worse_than(each.verdict)
+        assert verdict.includes(each.verdict)
         assert verdict.low_service
         assert not verdict.rules
 
@@ -58,5 +58,5 @@
     small, count = minimize(base, Verdict(("drain",)), play, max_runs=40)
     assert [i.kind for i in small.faults] == ["freeze"]
     assert count == len(plays) <= 40
-    assert not Verdict().worse_than(Verdict(("drain",)))
+    assert not Verdict().includes(Verdict(("drain",)))
     assert not evaluate_report(base, build_report(simulate(day(length_s=2.0))))
--- a/tests/membership/clusters.py
+++ b/tests/membership/clusters.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from client_proxy.emulator.fault_schedule import QUICK
+from client_proxy.emulator.fault_schedule import FAST_GOSSIP
 from client_proxy.emulator.simulated_cluster import SimulatedCluster
 from client_proxy.membership.node import GossipNode
 from client_proxy.membership.swim import SwimProtocol
 
 
 def start_cluster(instances: int = 8, **options: object) -> SimulatedCluster:
-    cluster = SimulatedCluster(instances, gossip=QUICK, **options)  # type: ignore[arg-type]
+    cluster = SimulatedCluster(instances, gossip=FAST_GOSSIP, **options)  # type: ignore[arg-type]
     cluster.start()
     return cluster
 
@@ -38,7 +38,7 @@
 def start_faulty_cluster(
     gossip: bool, nodes: dict[int, type[GossipNode]] | None = None, instances: int = 20
 ) -> SimulatedCluster:
-    cluster = SimulatedCluster(instances, gossip=QUICK if gossip else None, node_types=nodes, seed=4)
+    cluster = SimulatedCluster(instances, gossip=FAST_GOSSIP if gossip else None, node_types=nodes, seed=4)
     cluster.start()
     cluster.schedule_traffic(40.0, 3_000.0, 30_000.0)
     cluster.call_at(12_000.0, lambda: setattr(cluster.servers["mladost-4"], "failure_share", 1.0))
--- a/tests/membership/test_node.py
+++ b/tests/membership/test_node.py
@@ -11,7 +11,7 @@
     Equivocates,
     PraisesAll,
 )
-from client_proxy.emulator.fault_schedule import QUICK, draw_schedule, run_schedule, unknown_pairs
+from client_proxy.emulator.fault_schedule import FAST_GOSSIP, draw_schedule, run_schedule, unknown_pairs
 from client_proxy.emulator.simulated_cluster import NetworkConditions, SimulatedCluster
 from client_proxy.emulator.simulated_instance import NON_IDEMPOTENT_CLASS, RequestOutcome, SimulatedInstance
 from client_proxy.emulator.simulated_keys import derive_keyring
@@ -58,7 +58,9 @@
 
 
 def test_three_agreeing_byzantine_reporters_of_twenty_lose_trust() -> None:
-    cluster = SimulatedCluster(20, gossip=QUICK, node_types=dict.fromkeys((3, 9, 15), AccusesFirst), seed=6)
+    cluster = SimulatedCluster(
+        20, gossip=FAST_GOSSIP, node_types=dict.fromkeys((3, 9, 15), AccusesFirst), seed=6
+    )
     cluster.start()
     cluster.schedule_traffic(60.0, 3_000.0, 40_000.0)
     victim = sorted(cluster.servers)[0]
@@ -82,7 +84,7 @@
 
 
 def test_server_unreachable_from_one_zone_is_deprioritized_there_only() -> None:
-    cluster = SimulatedCluster(18, gossip=QUICK, seed=6)
+    cluster = SimulatedCluster(18, gossip=FAST_GOSSIP, seed=6)
     cluster.start()
     cluster.schedule_traffic(60.0, 3_000.0, 30_000.0)
     server = cluster.servers["lyulin-2"]
@@ -128,7 +130,7 @@
 
 
 def test_partition_deprioritizes_no_healthy_server() -> None:
-    cluster = SimulatedCluster(12, gossip=QUICK, seed=2)
+    cluster = SimulatedCluster(12, gossip=FAST_GOSSIP, seed=2)
     cluster.start()
     cluster.schedule_traffic(60.0, 3_000.0, 40_000.0)
     cluster.call_at(8_000.0, lambda: cluster.partition([range(6)]))
@@ -140,7 +142,7 @@
 
 
 def test_nothing_is_reported_while_all_servers_are_healthy() -> None:
-    cluster = SimulatedCluster(30, gossip=QUICK, seed=8, network=NetworkConditions(loss=0.02))
+    cluster = SimulatedCluster(30, gossip=FAST_GOSSIP, seed=8, network=NetworkConditions(loss=0.02))
     cluster.start()
     cluster.schedule_traffic(40.0, 3_000.0, 40_000.0)
     cluster.run(42_000.0)
@@ -149,11 +151,11 @@
         instance.node.counters.reports_accepted for instance in cluster.instances if instance.node is not None
     )
     assert reports == 0
-    assert max(sent) < 42 * QUICK.sends_per_s / 2
+    assert max(sent) < 42 * FAST_GOSSIP.sends_per_s / 2
 
 
 def test_idle_instance_knows_of_a_fault_before_its_first_request() -> None:
-    cluster = SimulatedCluster(20, gossip=QUICK, seed=9)
+    cluster = SimulatedCluster(20, gossip=FAST_GOSSIP, seed=9)
     cluster.start()
     cluster.schedule_traffic(60.0, 3_000.0, 30_000.0, among=list(range(19)))
     cluster.call_at(10_000.0, lambda: setattr(cluster.servers["mladost-4"], "stalled_share", 1.0))
@@ -242,7 +244,7 @@
 
 
 def test_ed25519_signatures_in_a_small_cluster() -> None:
-    cluster = SimulatedCluster(3, gossip=QUICK, fast_signatures=False, seed=3)
+    cluster = SimulatedCluster(3, gossip=FAST_GOSSIP, fast_signatures=False, seed=3)
     cluster.start()
     cluster.schedule_traffic(30.0, 2_000.0, 12_000.0)
     cluster.call_at(5_000.0, lambda: setattr(cluster.servers["mladost-4"], "failure_share", 1.0))
