--- a/client_proxy/emulator/__main__.py
+++ b/client_proxy/emulator/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m client_proxy.emulator`: rehearse a scripted day, compare two builds on it, look for bad ones."""
+"""Command line of the emulator: replays a scenario, compares two builds on it, and explores variations.
+
+Run it as `python -m client_proxy.emulator`.
+"""
 
 from __future__ import annotations
 
@@ -21,60 +24,67 @@
 from client_proxy.operators import NOTHING, load_operators
 from client_proxy.toml_table import TomlError
 
-KEPT, BROKEN, UNUSABLE = 0, 1, 2
+EXIT_OK, EXIT_VIOLATION, EXIT_ERROR = 0, 1, 2
+"""Exit codes: all rules were kept; a rule was violated or a proxy crashed; the input is unusable."""
 
 
-def arguments() -> argparse.ArgumentParser:
+def create_parser() -> argparse.ArgumentParser:
     """Return the parser of the command line."""
     parser = argparse.ArgumentParser(prog="python -m client_proxy.emulator", description=__doc__)
-    verbs = parser.add_subparsers(dest="verb", required=True)
+    commands = parser.add_subparsers(dest="verb", required=True)
 
-    replay = verbs.add_parser("replay", help="play a day; exit code 1 if a rule broke")
-    replay.add_argument("day", help="the day's TOML file")
-    replay.add_argument("--json", metavar="FILE", help="write the whole report there")
-    replay.add_argument("--html", metavar="FILE", help="draw the day as one page")
-    replay.add_argument("--seed", type=int, help="instead of the day's own")
+    replay = commands.add_parser(
+        "replay", help="replay a scenario; the exit code is 1 if a rule was violated"
+    )
+    replay.add_argument("day", help="the scenario's TOML file")
+    replay.add_argument("--json", metavar="FILE", help="write the report to this file as JSON")
+    replay.add_argument("--html", metavar="FILE", help="write the report to this file as an HTML page")
+    replay.add_argument("--seed", type=int, help="a seed to use instead of the scenario's")
     replay.add_argument("--clock", choices=("virtual", "real"), default="virtual")
-    replay.add_argument("--proxies", type=int, help="instead of the day's own number")
-    replay.add_argument("--build", type=Path, help="a checkout whose daemon is run (real clock only)")
-    replay.add_argument("--operators", type=Path, help="the proxies' operators' TOML file")
-    replay.add_argument("--quiet", action="store_true", help="no progress")
+    replay.add_argument("--proxies", type=int, help="a number of proxies to use instead of the scenario's")
+    replay.add_argument("--build", type=Path, help="the checkout whose daemon is run (real clock only)")
+    replay.add_argument("--operators", type=Path, help="the operators' TOML file of all proxies")
+    replay.add_argument("--quiet", action="store_true", help="print no progress")
 
-    check = verbs.add_parser("check", help="check a day's file, and say what is wrong with it")
+    check = commands.add_parser("check", help="check scenario files and print their errors")
     check.add_argument("day", nargs="+")
 
-    versus = verbs.add_parser("compare", help="two builds (folders) or settings (TOML files) on one day")
-    versus.add_argument("a")
-    versus.add_argument("b")
-    versus.add_argument("day")
-    versus.add_argument("--seeds", type=int, default=10)
-    versus.add_argument("--clock", choices=("virtual", "real"), default="virtual")
-    versus.add_argument("--jobs", type=int, default=max(1, (os.cpu_count() or 2) - 1))
-    versus.add_argument("--json", metavar="FILE")
-
-    search = verbs.add_parser("explore", help="vary a day, and keep what breaks a rule or loses service")
-    search.add_argument("day")
-    search.add_argument("--seeds", type=int, default=200)
-    search.add_argument("--first", type=int, default=0, help="the first seed")
-    search.add_argument("--out", type=Path, default=Path("found"), help="folder for what is found")
-    search.add_argument("--jobs", type=int, default=max(1, (os.cpu_count() or 2) - 1))
-    search.add_argument("--whole", action="store_true", help="do not cut findings down")
-    search.add_argument("--json", metavar="FILE")
+    comparison = commands.add_parser(
+        "compare", help="compare two builds (folders) or settings (TOML files) on a scenario"
+    )
+    comparison.add_argument("a")
+    comparison.add_argument("b")
+    comparison.add_argument("day")
+    comparison.add_argument("--seeds", type=int, default=10)
+    comparison.add_argument("--clock", choices=("virtual", "real"), default="virtual")
+    comparison.add_argument("--jobs", type=int, default=max(1, (os.cpu_count() or 2) - 1))
+    comparison.add_argument("--json", metavar="FILE")
+
+    exploration = commands.add_parser(
+        "explore", help="run variations of a scenario and keep those that violate a rule or lose service"
+    )
+    exploration.add_argument("day")
+    exploration.add_argument("--seeds", type=int, default=200)
+    exploration.add_argument("--first", type=int, default=0, help="the first seed")
+    exploration.add_argument("--out", type=Path, default=Path("found"), help="the folder for findings")
+    exploration.add_argument("--jobs", type=int, default=max(1, (os.cpu_count() or 2) - 1))
+    exploration.add_argument("--whole", action="store_true", help="do not minimize findings")
+    exploration.add_argument("--json", metavar="FILE")
     return parser
 
 
-def chosen(args: argparse.Namespace) -> Scenario:
-    """Return the scenario of the command line, with its options applied.
+def load_chosen_scenario(args: argparse.Namespace) -> Scenario:
+    """Load the scenario that the command line names and apply the options that change it.
 
     Raises:
-        TomlError: the scenario or an option is not usable.
+        TomlError: the scenario or an option is invalid.
     """
     scenario = load_scenario(args.day)
     if args.seed is not None:
         scenario = replace(scenario, seed=args.seed)
     if args.proxies is not None:
         if args.proxies < 1:
-            raise TomlError("--proxies: at least 1")
+            raise TomlError(f"--proxies: {args.proxies} is not allowed: at least 1")
         faults = tuple(
             replace(fault, proxies=tuple(p for p in fault.proxies if p < args.proxies))
             for fault in scenario.faults
@@ -85,34 +95,34 @@
     return scenario
 
 
-def do_replay(args: argparse.Namespace) -> int:
-    """Run a scenario and report on it; return the exit code."""
-    scenario = chosen(args)
+def run_replay(args: argparse.Namespace) -> int:
+    """Run a scenario and print its report; return the exit code."""
+    scenario = load_chosen_scenario(args)
     if args.build is not None and args.clock != "real":
-        raise TomlError("--build: another build's daemon runs on the real clock only")
+        raise TomlError("--build: another build's daemon needs the real clock (--clock real)")
 
-    def progress(passed_s: float, ended: list[ClientRequest]) -> None:
-        print(format_window(passed_s, ended), file=sys.stderr, flush=True)
+    def progress(elapsed_s: float, ended: list[ClientRequest]) -> None:
+        print(format_window(elapsed_s, ended), file=sys.stderr, flush=True)
 
     operators = load_operators(args.operators) if args.operators else NOTHING
-    shown = None if args.quiet else progress
+    progress_callback = None if args.quiet else progress
     result: SimulationResult
     if args.clock == "virtual":
-        result = simulate(scenario, shown, operators)
+        result = simulate(scenario, progress_callback, operators)
     else:
-        result = asyncio.run(run_on_real_clock(scenario, shown, args.build, args.operators))
+        result = asyncio.run(run_on_real_clock(scenario, progress_callback, args.build, args.operators))
     report = build_report(result)
     if args.json:
         Path(args.json).write_text(report.to_json(), encoding="utf-8")
     if args.html:
         Path(args.html).write_text(render_page(report), encoding="utf-8")
     print(format_report(report), end="")
-    return BROKEN if report.broken else KEPT
+    return EXIT_VIOLATION if report.broken else EXIT_OK
 
 
-def do_check(args: argparse.Namespace) -> int:
+def run_check(args: argparse.Namespace) -> int:
     """Check scenario files; return the exit code."""
-    worst = KEPT
+    exit_code = EXIT_OK
     for path in args.day:
         try:
             scenario = load_scenario(path)
@@ -120,11 +130,11 @@
             print(f"{path}: {scenario.name}, {servers} servers, {faults} incidents")
         except TomlError as error:
             print(error, file=sys.stderr)
-            worst = UNUSABLE
-    return worst
+            exit_code = EXIT_ERROR
+    return exit_code
 
 
-def do_compare(args: argparse.Namespace) -> int:
+def run_compare(args: argparse.Namespace) -> int:
     """Compare two builds or settings; return the exit code."""
     scenario = load_scenario(args.day)
     sides = (read_side(args.a), read_side(args.b))
@@ -135,22 +145,26 @@
     if args.json:
         Path(args.json).write_text(json.dumps(result, indent=1) + "\n", encoding="utf-8")
     print(format_comparison(result), end="")
-    return BROKEN if any(result["broken"].values()) else KEPT
+    return EXIT_VIOLATION if any(result["broken"].values()) else EXIT_OK
 
 
-def do_explore(args: argparse.Namespace) -> int:
-    """Look for variations that are findings; return the exit code."""
+def run_explore(args: argparse.Namespace) -> int:
+    """Run variations of a scenario and print a summary; return the exit code."""
     scenario = load_scenario(args.day)
-    served: dict[int, float] = {}
+    served_by_seed: dict[int, float] = {}
 
     def on_result(seed: int, share: float, finding: Finding | None) -> None:
-        served[seed] = share
+        served_by_seed[seed] = share
         found = f"  {finding.verdict}: {finding.file}" if finding else ""
-        if finding or len(served) % 10 == 0:
-            print(f"{len(served):5d} of {args.seeds}  served {share:.4f}{found}", file=sys.stderr, flush=True)
+        if finding or len(served_by_seed) % 10 == 0:
+            print(
+                f"{len(served_by_seed):5d} of {args.seeds}  served {share:.4f}{found}",
+                file=sys.stderr,
+                flush=True,
+            )
 
     findings = explore(scenario, args.seeds, args.out, args.jobs, on_result, args.first, not args.whole)
-    shares = sorted(served.values())
+    shares = sorted(served_by_seed.values())
     summary = {
         "day": scenario.name,
         "seeds": args.seeds,
@@ -171,18 +185,18 @@
     if args.json:
         Path(args.json).write_text(json.dumps(summary, indent=1) + "\n", encoding="utf-8")
     print(json.dumps(summary, indent=1))
-    return BROKEN if any(f.verdict.rules or f.verdict.crashed for f in findings) else KEPT
+    return EXIT_VIOLATION if any(f.verdict.rules or f.verdict.crashed for f in findings) else EXIT_OK
 
 
 def main() -> int:
     """Run the command line; return the exit code."""
-    args = arguments().parse_args()
-    verbs = {"replay": do_replay, "check": do_check, "compare": do_compare, "explore": do_explore}
+    args = create_parser().parse_args()
+    commands = {"replay": run_replay, "check": run_check, "compare": run_compare, "explore": run_explore}
     try:
-        return verbs[args.verb](args)
+        return commands[args.verb](args)
     except (TomlError, RuntimeError, OSError) as error:
         print(error, file=sys.stderr)
-        return UNUSABLE
+        return EXIT_ERROR
 
 
 if __name__ == "__main__":
--- a/client_proxy/emulator/client_connection.py
+++ b/client_proxy/emulator/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection to its proxy, with one request at a time."""
+"""A client's HTTP/1.1 connection to its proxy, which carries one request at a time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A complete response; `retry_after_s` is 0 without such a header."""
+    """A complete response; `retry_after_s` is 0 without a Retry-After header."""
 
     status: int
     body: bytes
@@ -22,20 +22,20 @@
 
 
 class ConnectionPool(Protocol):
-    """What a connection needs of the clients that it belongs to."""
+    """The parts of a connection's pool that the connection uses."""
 
     loop: asyncio.AbstractEventLoop
 
-    def forget(self, connection: ClientConnection) -> None:
-        """Handle the end of a connection."""
+    def remove_connection(self, connection: ClientConnection) -> None:
+        """Remove a connection that has ended."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection.
+    """One connection of a client.
 
     Attributes:
-        open: it has been made and has not ended.
-        answer_begun: some of the response to the last request has come.
+        open: whether the connection is established and has not ended.
+        answer_begun: whether a part of the response to the last request has arrived.
     """
 
     def __init__(self, pool: ConnectionPool) -> None:
@@ -53,21 +53,21 @@
     # asyncio's callbacks
 
     def connection_made(self, transport: Any) -> None:
-        """Take the transport."""
+        """Store the transport."""
         self._transport = transport
         self.open = True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the request that waits for its response."""
+        """Remove the connection from its pool and end the request that waits for a response."""
         self.open = False
-        self._pool.forget(self)
+        self._pool.remove_connection(self)
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
     def data_received(self, data: bytes) -> None:
-        """Read a response; without a request it is a second one to the last."""
+        """Parse a response; data that no request waits for counts as an extra answer to the last one."""
         if self._waiter is None or self._waiter.done():
-            self._note_extra_answer()
+            self._record_extra_answer()
             self.close()
             return
         self.answer_begun = True
@@ -79,24 +79,24 @@
     # The parser's callbacks
 
     def on_message_begin(self) -> None:
-        """Start a response."""
+        """Begin a response."""
         self._headers, self._body = [], []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Store a header."""
         self._headers.append((name.lower(), value))
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Store a part of the body."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand over the response."""
+        """Give the response to the waiting request; skip 1xx responses."""
         status = self._parser.get_status_code()
         if status < 200:
             return
         if self._waiter is None or self._waiter.done():
-            self._note_extra_answer()
+            self._record_extra_answer()
             return
         try:
             retry_after_s = float(dict(self._headers).get(b"retry-after", b"0"))
@@ -106,21 +106,21 @@
         response = Response(status, b"".join(self._body), retry_after_s, self._pool.loop.time())
         self._waiter.set_result(response)
 
-    def _note_extra_answer(self) -> None:
+    def _record_extra_answer(self) -> None:
         if self._last_attempt is not None:
             self._last_attempt.extra_answer = True
 
     # Requests
 
     def send_request(self, attempt: ClientAttempt, request: bytes) -> asyncio.Future[Response | None]:
-        """Send a request; the future holds the response, or None if the connection ended before it."""
+        """Send a request; the future yields the response, or None if the connection ended before it."""
         self._waiter = self._pool.loop.create_future()
         self._last_attempt, self.answer_begun = attempt, False
         self._transport.write(request)
         return self._waiter
 
     def reusable(self) -> bool:
-        """Return whether another request may be sent."""
+        """Return whether another request may be sent on this connection."""
         return self.open and self._keep_alive
 
     def close(self) -> None:
--- a/client_proxy/emulator/clients.py
+++ b/client_proxy/emulator/clients.py
@@ -1,4 +1,4 @@
-"""The clients of one proxy: they make the planned requests, with connections and retries of their own."""
+"""The clients of one proxy, which make the planned requests and retry them."""
 
 from __future__ import annotations
 
@@ -19,13 +19,14 @@
 
 READY_REQUEST = b"GET /ready HTTP/1.1\r\nHost: app.svc\r\n\r\n"
 MAX_SENDS = 2
-"""How often an attempt is sent: once more if its reused connection was closed at the same time."""
+"""Times that an attempt is sent at most: again if the proxy closed its reused connection meanwhile."""
 REJECTED_STATUSES = (429, 503)
+"""Statuses with which a proxy rejects an attempt."""
 REQUEST_BODY = "form"
 
 
 class ClientGroup:
-    """The clients of one proxy."""
+    """The clients of one proxy, with a pool of connections to it."""
 
     def __init__(self, environment: ClientEnvironment, proxy: int) -> None:
         self.proxy = proxy
@@ -35,13 +36,13 @@
         self._free_connections = asyncio.Semaphore(environment.scenario.clients.max_connections)
         self._requests: set[asyncio.Task[None]] = set()
 
-    def forget(self, connection: ClientConnection) -> None:
-        """Handle the end of a connection."""
+    def remove_connection(self, connection: ClientConnection) -> None:
+        """Remove a connection that has ended from the idle connections."""
         if connection in self._idle:
             self._idle.remove(connection)
 
     async def proxy_is_ready(self) -> bool:
-        """Return whether the proxy says that it is ready."""
+        """Return whether the proxy answers its readiness check with status 200."""
         try:
             connection = await self._connect()
         except OSError:
@@ -52,7 +53,7 @@
         return response is not None and response.status == 200
 
     async def run(self, planned: list[PlannedRequest], start_s: float) -> None:
-        """Make all requests at their times and wait for their ends."""
+        """Make all requests at their times and wait until they have ended."""
         for request in planned:
             wait_s = start_s + request.at_s - self.loop.time()
             if wait_s > 0:
@@ -64,14 +65,14 @@
             await asyncio.wait(list(self._requests))
 
     async def _request(self, planned: PlannedRequest) -> None:
-        """Make one request: its attempts, one after the other."""
+        """Make one request: up to `max_retries` retries follow its first attempt."""
         max_retries = self._environment.scenario.clients.max_retries
         request_class = self._environment.classes[planned.class_name]
         request = ClientRequest(self.proxy, planned.number, request_class.name, self.loop.time())
         self._environment.event_log.requests.append(request)
         for number in range(max_retries + 1):
             attempt = self._new_attempt(planned, request_class, number)
-            response = await self._carry_out(attempt, planned, request_class, is_retry=number > 0)
+            response = await self._run_attempt(attempt, planned, request_class, is_retry=number > 0)
             request.attempts.append(attempt)
             request.ended_s = self.loop.time()
             request.outcome = self._request_outcome(request, attempt, request_class)
@@ -107,10 +108,10 @@
 
     @staticmethod
     def _may_retry(attempt: ClientAttempt, request_class: RequestClassSpec) -> bool:
-        """Return whether a retry does no harm.
+        """Return whether a retry is safe.
 
-        A rejection says that nothing ran. A failure promises nothing: a request that is not idempotent is not
-        repeated before somebody has looked.
+        A rejection promises that nothing ran. After a failure the request may have run, so it is not repeated
+        if it is not idempotent.
         """
         if attempt.outcome is AttemptOutcome.REJECTED:
             return True
@@ -123,14 +124,14 @@
             backoff_s = max(backoff_s, min(response.retry_after_s, clients.max_retry_after_ms / 1000.0))
         return backoff_s
 
-    async def _carry_out(
+    async def _run_attempt(
         self,
         attempt: ClientAttempt,
         planned: PlannedRequest,
         request_class: RequestClassSpec,
         is_retry: bool,
     ) -> Response | None:
-        """Carry out one attempt on one of the connections and record its outcome."""
+        """Wait for a free connection, send one attempt on it and record the outcome."""
         await self._free_connections.acquire()
         try:
             share = self._environment.scenario.clients.attempt_deadline_share
@@ -150,14 +151,14 @@
         request_class: RequestClassSpec,
         is_retry: bool,
     ) -> Response | None:
-        """Send an attempt and return its response; without one, record its outcome."""
+        """Send an attempt and return its response; without a response, record the outcome and return None."""
         incarnation = self._environment.proxies[self.proxy].incarnation
-        for send in range(MAX_SENDS):
+        for send_number in range(MAX_SENDS):
             reused = bool(self._idle)
             try:
                 connection = self._idle.pop() if reused else await self._connect()
             except OSError:
-                self._end(attempt, AttemptOutcome.PROXY_GONE)
+                self._record_end(attempt, AttemptOutcome.PROXY_GONE)
                 return None
             remaining_ms = 1000.0 * (attempt.deadline_s - self.loop.time())
             request = _encode_request(attempt, planned, request_class, is_retry, remaining_ms)
@@ -166,15 +167,15 @@
                 response = await self._wait_for_response(attempt, waiter)
             except TimeoutError:
                 connection.close()
-                self._end(attempt, self._outcome_without_response(incarnation))
+                self._record_end(attempt, self._outcome_without_response(incarnation))
                 return None
             if response is not None:
-                self._keep(connection)
+                self._release_connection(connection)
                 return response
-            # A proxy may close an idle connection at the moment in which a request is sent on it.
-            if not reused or send or connection.answer_begun:
+            # A proxy may close an idle connection at the moment at which a request is sent on it.
+            if not reused or send_number or connection.answer_begun:
                 break
-        self._end(attempt, self._outcome_without_response(incarnation))
+        self._record_end(attempt, self._outcome_without_response(incarnation))
         return None
 
     async def _wait_for_response(
@@ -197,13 +198,13 @@
             attempt.outcome = AttemptOutcome.FAILED
 
     def _outcome_without_response(self, incarnation: int) -> AttemptOutcome:
-        """Return `LOST`, unless the proxy that took the attempt was killed meanwhile."""
+        """Return `LOST`, or `PROXY_GONE` if the proxy that got the attempt was killed meanwhile."""
         proxy = self._environment.proxies[self.proxy]
         if proxy.incarnation == incarnation and proxy.up:
             return AttemptOutcome.LOST
         return AttemptOutcome.PROXY_GONE
 
-    def _end(self, attempt: ClientAttempt, outcome: AttemptOutcome) -> None:
+    def _record_end(self, attempt: ClientAttempt, outcome: AttemptOutcome) -> None:
         attempt.outcome, attempt.ended_s = outcome, self.loop.time()
 
     async def _connect(self) -> ClientConnection:
@@ -211,7 +212,7 @@
         _, connection = await self.loop.create_connection(lambda: ClientConnection(self), host, port)
         return connection
 
-    def _keep(self, connection: ClientConnection) -> None:
+    def _release_connection(self, connection: ClientConnection) -> None:
         if connection.reusable():
             self._idle.append(connection)
         else:
--- a/client_proxy/emulator/compare.py
+++ b/client_proxy/emulator/compare.py
@@ -1,7 +1,7 @@
-"""Compares two builds, or two settings, on one scenario: the same seeds for both, and the spread over them.
+"""Compares two builds, or two settings, on one scenario and the same seeds, with the spread over the seeds.
 
-A side is a folder that holds a build (a checkout), or a TOML file whose tables replace those of the scenario
-(`[rules]`, `[clients]` and so on). Every run is a process of its own.
+A side is a folder that holds a build (a checkout), or a TOML file whose keys replace those of the scenario's
+tables (`[rules]`, `[clients]` and so on). Each run has a process of its own.
 """
 
 from __future__ import annotations
@@ -35,19 +35,26 @@
     "wasted_share",
     "connections",
 )
+"""Figures of a report that are compared."""
 
 
 @dataclass(frozen=True)
 class Side:
-    """One side of a comparison: a build, or changes of the scenario's tables."""
+    """One side of a comparison: a build, or changes to the scenario's tables.
+
+    Attributes:
+        name: the command-line argument that names the side.
+        build: the folder of the build; None: this build.
+        changes: for each table of the file, the keys to replace and their values.
+    """
 
     name: str
-    build: Path | None  # None: this build
+    build: Path | None
     changes: dict[str, dict[str, Any]]
 
 
 @dataclass(frozen=True, slots=True)
-class _Task:
+class _Run:
     """A run of one side with one seed."""
 
     side: Side
@@ -58,7 +65,7 @@
     """Return the side that a command-line argument names.
 
     Raises:
-        TomlError: it is neither a checkout nor a file of tables.
+        TomlError: the argument is neither a checkout nor a TOML file of tables.
     """
     path = Path(text)
     if path.is_dir():
@@ -68,13 +75,13 @@
             raise TomlError(str(error)) from error
         return Side(text, path.resolve(), {})
     try:
-        raw = tomllib.loads(read_text(path))
+        tables = tomllib.loads(read_text(path))
     except tomllib.TOMLDecodeError as error:
         raise TomlError(f"{text}: {error}") from None
-    for key, value in raw.items():
+    for key, value in tables.items():
         if not isinstance(value, dict):
-            raise TomlError(f"{text}: {key}: only tables can replace those of a day")
-    return Side(text, None, raw)
+            raise TomlError(f"{text}: {key}: must be a table of the scenario file, such as [clients]")
+    return Side(text, None, tables)
 
 
 def with_changes(scenario: Scenario, changes: dict[str, dict[str, Any]], name: str) -> Scenario:
@@ -82,8 +89,8 @@
 
     Args:
         scenario: the scenario.
-        changes: by table of the file, the keys and their values.
-        name: for messages.
+        changes: for each table of the file, the keys to replace and their values.
+        name: the name of the result in messages of errors.
 
     Raises:
         TomlError: the result is not a scenario.
@@ -91,11 +98,13 @@
     document = tomllib.loads(format_scenario(scenario))
     for table, keys in changes.items():
         document.setdefault(table, {}).update(keys)
-    lines = [f"{key} = {format_value(value)}" for key, value in document.items() if not _is_table(value)]
+    lines = [
+        f"{key} = {format_value(value)}" for key, value in document.items() if not _is_table_or_array(value)
+    ]
     for key, value in document.items():
         if isinstance(value, dict):
             lines += [f"[{key}]", *_key_lines(value)]
-        elif _is_table(value):
+        elif _is_table_or_array(value):
             for entry in value:
                 lines += [f"[[{key}]]", *_key_lines(entry)]
     return parse_scenario("\n".join(lines), name)
@@ -105,7 +114,7 @@
     return [f"{key} = {format_value(value)}" for key, value in table.items()]
 
 
-def _is_table(value: Any) -> bool:
+def _is_table_or_array(value: Any) -> bool:
     return isinstance(value, dict) or (isinstance(value, list) and bool(value) and isinstance(value[0], dict))
 
 
@@ -113,7 +122,7 @@
     """Run one side in a process of its own and return its report.
 
     Raises:
-        SideError: the run gave no report; the text is what it said.
+        SideError: the run wrote no report; the message has its standard error.
     """
     with tempfile.TemporaryDirectory() as folder:
         file, out = Path(folder) / "day.toml", Path(folder) / "out.json"
@@ -121,17 +130,19 @@
         root = side.build or ROOT
         options = ["--seed", str(seed), "--clock", clock, "--quiet"]
         if not _has_emulator(root):
-            # An older build: its daemon runs under this build's emulator, which needs the real clock.
+            # A build without an emulator runs its daemon under this build's emulator, on the real clock only.
             if clock != "real":
-                raise SideError(f"{side.name} has no emulator of its own: compare it with --clock real")
+                raise SideError(f"{side.name} has no emulator: compare it with --clock real")
             options += ["--build", str(root)]
             root = ROOT
         module = f"{package_name(root)}.emulator"
         command = [sys.executable, "-m", module, "replay", str(file), "--json", str(out), *options]
         environment = os.environ | {"PYTHONPATH": str(root)}
-        done = subprocess.run(command, env=environment, cwd=root, capture_output=True, text=True)
+        completed = subprocess.run(command, env=environment, cwd=root, capture_output=True, text=True)
         if not out.is_file():
-            raise SideError(f"{side.name}, seed {seed}: {done.stderr.strip() or done.returncode}")
+            raise SideError(
+                f"{side.name}, seed {seed}: no report: {completed.stderr.strip() or completed.returncode}"
+            )
         report: dict[str, Any] = json.loads(out.read_text(encoding="utf-8"))
         return report
 
@@ -141,7 +152,7 @@
 
 
 def spread(values: list[float]) -> dict[str, float]:
-    """Return mean, standard deviation, least and greatest of some values."""
+    """Return the mean, the standard deviation, the least and the greatest of some values."""
     return {
         "mean": round(fmean(values), 5),
         "sd": round(stdev(values), 5) if len(values) > 1 else 0.0,
@@ -156,30 +167,30 @@
     seeds: list[int],
     clock: str,
     jobs: int,
-    on_line: Callable[[str], None],
+    on_progress: Callable[[str], None],
 ) -> dict[str, Any]:
     """Run both sides on each seed and return the comparison as a JSON object.
 
-    Runs on one seed share their clients and faults.
+    Both sides' runs on one seed have the same client requests and faults.
 
     Args:
         sides: the two sides.
         scenario: the scenario.
         seeds: the seeds.
         clock: `virtual` or `real`.
-        jobs: runs at the same time on the virtual clock.
-        on_line: called with a line of progress for each run.
+        jobs: the number of runs at the same time on the virtual clock.
+        on_progress: called with a line of progress for each run.
     """
-    tasks = [_Task(side, seed) for seed in seeds for side in sides]
+    planned_runs = [_Run(side, seed) for seed in seeds for side in sides]
 
-    def run(task: _Task) -> dict[str, Any]:
-        report = run_side(task.side, scenario, task.seed, clock)
-        on_line(f"{task.side.name}  seed {task.seed}  served {report['served_share']:.4f}")
+    def run(planned_run: _Run) -> dict[str, Any]:
+        report = run_side(planned_run.side, scenario, planned_run.seed, clock)
+        on_progress(f"{planned_run.side.name}  seed {planned_run.seed}  served {report['served_share']:.4f}")
         return report
 
-    # On the real clock runs share the cores, so that there is one at a time.
+    # Runs on the real clock would slow each other down, so they run one at a time.
     with ThreadPoolExecutor(1 if clock == "real" else jobs) as pool:
-        reports = list(pool.map(run, tasks))
+        reports = list(pool.map(run, planned_runs))
     reports_a, reports_b = reports[0::2], reports[1::2]
     return {
         "day": scenario.name,
@@ -187,12 +198,12 @@
         "seeds": seeds,
         "a": sides[0].name,
         "b": sides[1].name,
-        "figures": {name: _figure(name, reports_a, reports_b) for name in FIGURES},
+        "figures": {name: _compare_figure(name, reports_a, reports_b) for name in FIGURES},
         "broken": {"a": _count_broken(reports_a), "b": _count_broken(reports_b)},
     }
 
 
-def _figure(
+def _compare_figure(
     name: str, reports_a: list[dict[str, Any]], reports_b: list[dict[str, Any]]
 ) -> dict[str, dict[str, float]]:
     values_a = [float(report[name]) for report in reports_a]
@@ -209,7 +220,7 @@
 
 
 def format_comparison(result: dict[str, Any]) -> str:
-    """Return a comparison as text for a terminal."""
+    """Return a comparison formatted for a terminal."""
     lines = [
         f"{result['day']}, {len(result['seeds'])} seeds, {result['clock']} clock",
         f"  A {result['a']}",
--- a/client_proxy/emulator/errors.py
+++ b/client_proxy/emulator/errors.py
@@ -4,7 +4,7 @@
 
 
 class EmulatorError(RuntimeError):
-    """A run could not be carried out."""
+    """Base class of errors that prevent a run."""
 
 
 class ProxiesNotReadyError(EmulatorError):
@@ -16,4 +16,4 @@
 
 
 class SchedulerStuckError(EmulatorError):
-    """Nothing is ready, no timer is set, and what was waited for has not come."""
+    """The virtual clock has no callback ready and no timer set, but the awaited result is missing."""
--- a/client_proxy/emulator/event_log.py
+++ b/client_proxy/emulator/event_log.py
@@ -1,6 +1,6 @@
-"""The event log of a run: every attempt of a client, every arrival at a server, every notification.
+"""The event log of a run: clients' attempts, arrivals of requests at servers, discovery's notifications.
 
-It only records. `rules` checks it, `report` summarizes it.
+The log is passive data: `rules` checks it and `report` summarizes it.
 """
 
 from __future__ import annotations
@@ -10,34 +10,35 @@
 
 
 class ServerOutcome(Enum):
-    """What became of a request at a server. The values are those in reports and digests."""
+    """The outcome of a request at a server. The values appear in reports and digests."""
 
     QUEUED = "held"
     RUNNING = "running"
     COMPLETED = "ran"
-    DEDUPLICATED = "repeat"  # run, and its effect dropped as that of a repeated key
-    FAILED = "error"  # by a fault: it may have run
-    STALLED = "silent"  # by a fault: taken and never answered
+    DEDUPLICATED = "repeat"  # run, but its effect was dropped because its key was a repeat
+    FAILED = "error"  # failed by a fault; it may have run
+    STALLED = "silent"  # accepted and never answered, by a fault
     REJECTED = "turned away"
-    CANCELLED = "dropped"  # queued work of a connection that ended
-    INVALID = "unusable"
+    CANCELLED = "dropped"  # removed from the queue because its connection had closed
+    INVALID = "unusable"  # its URL does not name the class of its attempt
 
 
 NEVER_STARTED = (ServerOutcome.REJECTED, ServerOutcome.INVALID)
+"""Outcomes of requests that certainly had no effect at the server."""
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended for its client."""
+    """The outcome of an attempt as its client saw it."""
 
     SERVED = "served"
     REJECTED = "refused"
     FAILED = "failed"
-    LOST = "lost"  # taken by the proxy, and no complete response in time
-    PROXY_GONE = "gone"  # the proxy was killed, or was not there to take it
+    LOST = "lost"  # sent to the proxy, but no complete response came in time
+    PROXY_GONE = "gone"  # the proxy was killed meanwhile, or accepted no connection
 
 
 class RequestOutcome(StrEnum):
-    """How a request ended over all of its attempts. The values are keys of reports, in their order."""
+    """The outcome of a request over all of its attempts. The values are keys of reports, in this order."""
 
     SERVED = "served"
     LATE = "late"  # served after the class's latency objective
@@ -47,11 +48,17 @@
 
 @dataclass(slots=True, eq=False)
 class Arrival:
-    """A request at a server, from its last byte on.
+    """A request that arrived at a server.
 
     Attributes:
-        incarnation: of the server: the process that took it.
-        answer_lost: by a fault, its answer does not reach the proxy.
+        incarnation: the number of the server process that received it.
+        proxy: the number of the proxy that sent it.
+        first_byte_s: the time at which its first byte arrived.
+        arrived_s: the time at which its last byte arrived.
+        started_s: the time at which its work started; None: not started.
+        ended_s: the time at which its outcome was final; None: it waits or runs, or did when its server died.
+        answered: whether the server sent a response.
+        answer_lost: whether a fault keeps its response from reaching the proxy.
     """
 
     server: str
@@ -71,12 +78,14 @@
 
 @dataclass(slots=True, eq=False)
 class ClientAttempt:
-    """One attempt of a client at its proxy, under an id of its own.
+    """One attempt of a client at its proxy, with a unique id.
 
     Attributes:
-        request_number: of the request that it belongs to, among those of its proxy.
-        foreign_answer: the response was not made by a server for this attempt.
-        extra_answer: another response came after the final one.
+        request_number: the number of the request that it belongs to, among those of its proxy.
+        outcome: None until the attempt has ended.
+        status: the HTTP status of the response; 0: no response.
+        foreign_answer: whether the response was not made by a server for this attempt.
+        extra_answer: whether another response came after the final one.
     """
 
     attempt_id: str
@@ -96,7 +105,7 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """What a client wanted, over all of its attempts."""
+    """One request of a client with all of its attempts."""
 
     proxy: int
     number: int
@@ -109,7 +118,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Notification:
-    """Discovery notified a proxy that a server is draining, gone or ready; proxy -1: discovery knew it."""
+    """A notification from discovery to a proxy that a server is ready, draining or gone.
+
+    Attributes:
+        proxy: the number of the notified proxy; -1: the time at which discovery itself knew of the change.
+        status: `ready`, `draining` or `gone`.
+        since_ms: the Unix time of the server's last start; 0: it has run since the run began.
+    """
 
     proxy: int
     server: str
@@ -128,7 +143,7 @@
 
 @dataclass(slots=True)
 class ServerSample:
-    """The state of a server at one time."""
+    """The state of a server at one point in time; `busy_ms` is the time its cores have worked so far."""
 
     at_s: float
     running: int
@@ -143,10 +158,10 @@
     """All events of a run.
 
     Attributes:
-        attempts: by id, in the order in which they were sent.
-        unknown_attempt_ids: ids at servers that no client sent.
-        samples: by server.
-        accepted_connections: by server.
+        attempts: the attempts by id, in the order in which they were created.
+        unknown_attempt_ids: ids that arrived at servers but that no client sent.
+        samples: the samples of each server, in order of time.
+        accepted_connections: the number of connections that each server accepted.
     """
 
     attempts: dict[str, ClientAttempt] = field(default_factory=dict)
--- a/client_proxy/emulator/explore.py
+++ b/client_proxy/emulator/explore.py
@@ -1,7 +1,8 @@
-"""Looks for scenarios that violate a rule, or lose service, among variations of one scenario.
+"""Searches variations of a scenario for those that violate a rule or lose service.
 
-Each variation depends on a seed alone, so a finding is a file that anyone can replay. A finding is minimized:
-faults that it does not need are left out, and the rest is made shorter and smaller.
+Each variation depends on the scenario and a seed alone, and a finding is written as a scenario file that can
+be replayed. A finding is minimized: faults that it does not need are removed, and the run and the remaining
+faults are shortened.
 """
 
 from __future__ import annotations
@@ -20,13 +21,14 @@
 from client_proxy.emulator.simulation import simulate
 
 MAX_MINIMIZATION_RUNS = 60
+"""Runs that the minimization of one finding may take."""
 MIN_DURATION_S = 2.0
-"""A minimized scenario is not shorter than this."""
+"""Least duration of a minimized scenario."""
 
 
 @dataclass(frozen=True)
 class Verdict:
-    """Why a run is a finding: violated rules, too little service, crashes. Empty, it is none."""
+    """Why a run is a finding: violated rules, too little service, crashes; false if it is none."""
 
     rules: tuple[str, ...] = ()
     low_service: bool = False
@@ -37,7 +39,7 @@
         return bool(self.rules) or self.low_service or self.crashed
 
     def includes(self, other: Verdict) -> bool:
-        """Return whether it shows all that the other one shows."""
+        """Return whether everything that the other verdict shows is also shown by this one."""
         return (
             set(other.rules) <= set(self.rules)
             and self.low_service >= other.low_service
@@ -45,7 +47,7 @@
         )
 
     def __str__(self) -> str:
-        """Return it as text for people."""
+        """Return the reasons, separated by commas."""
         reasons = [f"rule {name}" for name in self.rules]
         return ", ".join(reasons + ["service"] * self.low_service + ["crash"] * self.crashed)
 
@@ -56,7 +58,7 @@
 
     Attributes:
         served: the served share of the variation before it was minimized.
-        minimization_runs: runs that the minimization took.
+        minimization_runs: the number of runs that the minimization took.
     """
 
     seed: int
@@ -68,7 +70,7 @@
 
 @dataclass(frozen=True)
 class _Task:
-    """One variation to run, for a worker process."""
+    """A variation that a worker process is to run."""
 
     scenario_text: str
     seed: int
@@ -78,7 +80,7 @@
 
 @dataclass(frozen=True)
 class _TaskResult:
-    """What a worker process found."""
+    """The result of a variation; `finding` is None if it is none."""
 
     seed: int
     served: float
@@ -86,7 +88,7 @@
 
 
 def vary_scenario(scenario: Scenario, seed: int) -> Scenario:
-    """Return the variation of a seed, within the ranges that the scenario states."""
+    """Return the variation that a seed gives, within the ranges that the scenario states."""
     random = random_stream(scenario.seed, "explore", seed)
     rate_factor = random.uniform(*scenario.exploration.rate_factors)
     clients = replace(scenario.clients, rate_per_s=scenario.clients.rate_per_s * rate_factor)
@@ -111,7 +113,7 @@
         at_s=round(min(max(0.0, at_s), scenario.duration_s), 3),
         duration_s=round(fault.duration_s * duration_factor, 3),
         server_share=round(server_share, 3) if fault.server_share else 0.0,
-        # A share of 1 means all requests; it is not a size to be varied.
+        # A share of 1 means all requests and is not varied.
         share=round(min(1.0, fault.share * size_factor), 4) if fault.share < 1 else 1.0,
         factor=round(max(1.0, 1 + (fault.factor - 1) * size_factor), 3),
         pause_ms=round(min(fault.pause_ms * size_factor, 0.9 * fault.pause_interval_ms), 1),
@@ -126,7 +128,7 @@
 
 
 def reduced_scenarios(scenario: Scenario) -> Iterator[Scenario]:
-    """Yield scenarios that are a little less than this one, the largest reductions first."""
+    """Yield scenarios with one reduction each, the largest reductions first."""
     for index in range(len(scenario.faults)):
         yield replace(scenario, faults=scenario.faults[:index] + scenario.faults[index + 1 :])
     yield from _shorter_scenarios(scenario)
@@ -162,16 +164,16 @@
     run: Callable[[Scenario], Verdict],
     max_runs: int = MAX_MINIMIZATION_RUNS,
 ) -> tuple[Scenario, int]:
-    """Return the least scenario that single reductions reach and that still shows the verdict.
+    """Return the smallest scenario that repeated reductions reach and that still shows the verdict.
 
     Args:
-        scenario: the finding.
-        verdict: what it shows.
-        run: runs a scenario.
-        max_runs: how many runs it may take.
+        scenario: the finding's scenario.
+        verdict: the finding's verdict.
+        run: runs a scenario and returns its verdict.
+        max_runs: the number of runs that the minimization may take.
 
     Returns:
-        The scenario, and the number of runs.
+        The scenario and the number of runs.
     """
     runs = 0
     reduced = True
@@ -202,7 +204,7 @@
     if task.minimizes:
         scenario, runs = minimize(scenario, verdict, simulate_and_evaluate)
     file = Path(task.folder) / f"{scenario.name}.toml"
-    header = f"# Found by explore, seed {task.seed}: {verdict}. Cut down in {runs} plays.\n"
+    header = f"# Found by explore, seed {task.seed}: {verdict}. Minimized in {runs} runs.\n"
     file.write_text(header + format_scenario(scenario), encoding="utf-8")
     finding = Finding(task.seed, verdict, report.served_share, str(file), runs)
     return _TaskResult(task.seed, report.served_share, finding)
@@ -217,14 +219,14 @@
     first: int = 0,
     minimizes: bool = True,
 ) -> list[Finding]:
-    """Run variations of a scenario and leave each finding as a file.
+    """Run variations of a scenario and write each finding to a file.
 
     Args:
         scenario: the scenario.
-        seeds: how many variations.
-        folder: for the findings.
-        jobs: number of processes.
-        on_result: called with the seed, the served share and the finding of each variation.
+        seeds: the number of variations, one for each seed.
+        folder: the folder that the findings are written to.
+        jobs: the number of worker processes.
+        on_result: called with the seed, the served share and the finding (or None) of each variation.
         first: the first seed.
         minimizes: whether findings are minimized.
     """
--- a/client_proxy/emulator/fault_schedule.py
+++ b/client_proxy/emulator/fault_schedule.py
@@ -1,9 +1,9 @@
-"""Random fault schedules for the gossip of a simulated cluster, and what must hold in all of them.
+"""Random fault schedules for the gossip of a simulated cluster, and checks that must hold in all of them.
 
-A schedule depends on its seed alone: the network's conditions, Byzantine reporters, partitions, kills,
-restarts under the same or another address, blocked loops, wrong clocks and failing servers. `run_schedule`
-checks every instance twice a second and returns what did not hold. A seed that fails can be run again alone,
-to the last event:
+A schedule depends on its seed alone. It has network conditions, Byzantine reporters, partitions, kills,
+restarts at the same or another address, blocked event loops, wrong clocks and failing servers. `run_schedule`
+checks every instance twice a second and returns the violations. A seed with violations can be run again alone
+and gives the same run, to the last event:
 
     python -m benchmarks.gossip schedules --first SEED --count 1
 """
@@ -38,22 +38,24 @@
     Equivocates,
 )
 FAULTS_END_MS = 24_000.0
-"""All faults are over by then."""
+"""Time by which all faults have ended."""
 FIRST_FAULT_MS, LAST_FAULT_MS = 6_000.0, 12_000.0
-"""Faults begin between these."""
+"""Faults begin between these times."""
 MAX_EARLY_END_MS = 4_000.0
+"""A fault ends at most this long before `FAULTS_END_MS`."""
 RUN_MS = 60_000.0
 RECOVERED_MS = RUN_MS - 20_000.0
-"""From then on each server has to be used."""
+"""Time from which each server has to get attempts again."""
 FIRST_REQUEST_MS, LAST_REQUEST_MS = 2_000.0, RUN_MS - 3_000.0
 RATE_PER_S = 40.0
 CHECK_INTERVAL_MS = 500.0
 MIN_INSTANCES_WITH_REPORTERS = 6
-"""Fewer instances have no Byzantine reporters; of more, one in so many may be one."""
+"""Smaller clusters have no Byzantine reporters; in others one of this many instances may be one."""
 MAX_VIOLATIONS = 5
-"""A run that shows more is ended."""
+"""A run with more violations is ended early."""
 MAX_REPLAYED_DATAGRAMS = 300
 CHECKED_CLASS = "entry-register"
+"""Request class for which the deprioritized servers are counted."""
 FAST_GOSSIP = GossipSettings(swim=SwimSettings(period_ms=500.0, timeout_ms=150.0, sync_ms=2000.0))
 
 ClusterAction = Callable[[SimulatedCluster], object]
@@ -62,15 +64,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduledAction:
-    """What is done to a cluster, and when."""
+    """An action on a cluster and its time."""
 
     at_ms: float
-    act: ClusterAction
+    apply: ClusterAction
 
 
 @dataclass
 class FaultSchedule:
-    """A drawn schedule; `descriptions` names its faults for people."""
+    """A drawn schedule; `descriptions` are printed to name its reporters and faults.
+
+    Attributes:
+        seed: the seed that it was drawn from.
+        instances: the number of instances.
+        network: the network's conditions until all faults have ended.
+        byzantine_reporters: the node type of each Byzantine reporter, by the instance's number.
+    """
 
     seed: int
     instances: int
@@ -82,35 +91,35 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawnFault:
-    """A fault whose kind is still to be drawn: its place and time."""
+    """The place and time of a fault, before its kind is drawn."""
 
     schedule: FaultSchedule
     random: Random
-    number: int  # of the instance, or of the server by order
+    number: int  # number of the affected instance, or index of the affected server, modulo the servers' count
     from_ms: float
     until_ms: float
 
-    def at_begin(self, act: ClusterAction) -> None:
+    def schedule_at_begin(self, action: ClusterAction) -> None:
         """Schedule an action for the fault's begin."""
-        self.schedule.actions.append(ScheduledAction(self.from_ms, act))
+        self.schedule.actions.append(ScheduledAction(self.from_ms, action))
 
-    def at_end(self, act: ClusterAction) -> None:
+    def schedule_at_end(self, action: ClusterAction) -> None:
         """Schedule an action for the fault's end."""
-        self.schedule.actions.append(ScheduledAction(self.until_ms, act))
+        self.schedule.actions.append(ScheduledAction(self.until_ms, action))
 
     def describe(self, text: str) -> None:
-        """Add a description."""
+        """Add a description to the schedule."""
         self.schedule.descriptions.append(text)
 
-    def set_on_server(self, attribute: str, begin: object, end: object) -> None:
-        """Set an attribute of the fault's server at its begin, and to another value at its end."""
+    def set_on_server(self, attribute: str, value_during: object, value_after: object) -> None:
+        """Schedule one value of an attribute of the fault's server for its begin and another for its end."""
 
         def set_to(cluster: SimulatedCluster, value: object) -> None:
             name = sorted(cluster.servers)[self.number % len(cluster.servers)]
             setattr(cluster.servers[name], attribute, value)
 
-        self.at_begin(lambda cluster: set_to(cluster, begin))
-        self.at_end(lambda cluster: set_to(cluster, end))
+        self.schedule_at_begin(lambda cluster: set_to(cluster, value_during))
+        self.schedule_at_end(lambda cluster: set_to(cluster, value_after))
 
 
 def draw_schedule(seed: int) -> FaultSchedule:
@@ -123,8 +132,8 @@
         delay_ms=random.choice(((0.2, 3.0), (0.2, 80.0))),
         late_share=random.choice((0.0, 0.05)),
     )
-    enough = instances >= MIN_INSTANCES_WITH_REPORTERS
-    max_reporters = instances // MIN_INSTANCES_WITH_REPORTERS if enough else 0
+    has_reporters = instances >= MIN_INSTANCES_WITH_REPORTERS
+    max_reporters = instances // MIN_INSTANCES_WITH_REPORTERS if has_reporters else 0
     numbers = random.sample(range(instances), random.randint(0, max_reporters))
     reporters = {number: random.choice(BYZANTINE_REPORTERS) for number in numbers}
     schedule = FaultSchedule(seed, instances, network, reporters)
@@ -137,41 +146,41 @@
 def _draw_fault(schedule: FaultSchedule, random: Random, from_ms: float) -> None:
     number = random.randrange(schedule.instances)
     until_ms = FAULTS_END_MS - random.uniform(0.0, MAX_EARLY_END_MS)
-    draw_kind = random.choice(FAULT_KINDS)
-    draw_kind(DrawnFault(schedule, random, number, from_ms, until_ms))
+    add_fault = random.choice(FAULT_KINDS)
+    add_fault(DrawnFault(schedule, random, number, from_ms, until_ms))
 
 
 def _partition(fault: DrawnFault) -> None:
     instances = fault.schedule.instances
     group = fault.random.sample(range(instances), instances // 2)
-    fault.at_begin(lambda cluster: cluster.partition([group]))
-    fault.at_end(lambda cluster: cluster.partition([]))
+    fault.schedule_at_begin(lambda cluster: cluster.partition([group]))
+    fault.schedule_at_end(lambda cluster: cluster.partition([]))
     fault.describe(f"cut {sorted(group)}")
 
 
 def _kill(fault: DrawnFault) -> None:
-    fault.at_begin(lambda cluster: cluster.kill(fault.number))
-    fault.at_end(lambda cluster: cluster.restart(fault.number))
+    fault.schedule_at_begin(lambda cluster: cluster.kill(fault.number))
+    fault.schedule_at_end(lambda cluster: cluster.restart(fault.number))
     fault.describe(f"kill {fault.number}")
 
 
 def _restart(fault: DrawnFault) -> None:
-    fault.at_begin(lambda cluster: cluster.restart(fault.number))
+    fault.schedule_at_begin(lambda cluster: cluster.restart(fault.number))
     fault.describe(f"restart {fault.number}")
 
 
 def _move(fault: DrawnFault) -> None:
-    fault.at_begin(lambda cluster: cluster.restart(fault.number, moved=True))
+    fault.schedule_at_begin(lambda cluster: cluster.restart(fault.number, moved=True))
     fault.describe(f"move {fault.number}")
 
 
 def _block_loop(fault: DrawnFault) -> None:
     def block(cluster: SimulatedCluster) -> None:
-        # Drawn when it begins: the length depends on the draws of the run so far.
+        # The length is drawn when the fault begins, so it depends on the draws of the run so far.
         duration_ms = fault.random.uniform(500.0, 4000.0)
         cluster.instances[fault.number].blocked_until_ms = cluster.now_ms + duration_ms
 
-    fault.at_begin(block)
+    fault.schedule_at_begin(block)
     fault.describe(f"block {fault.number}")
 
 
@@ -180,12 +189,12 @@
 
     def change(cluster: SimulatedCluster) -> None:
         instance = cluster.instances[fault.number]
-        # Its own monotonic clock can jump ahead, never back.
+        # A monotonic clock may jump forward but never back.
         before_ms = instance.now_ms()
         instance.clock_rate = rate
         instance.clock_offset_ms = before_ms + jump_ms - rate * cluster.now_ms
 
-    fault.at_begin(change)
+    fault.schedule_at_begin(change)
     fault.describe(f"clock of {fault.number} x{rate} +{jump_ms}")
 
 
@@ -206,7 +215,7 @@
 
 
 def _replay_datagrams(fault: DrawnFault) -> None:
-    """Deliver datagrams of the fault's time once more at its end."""
+    """Deliver datagrams that were sent during the fault once more at its end."""
     recorded: list[tuple[Address, bytes, Address]] = []
 
     def record(cluster: SimulatedCluster) -> None:
@@ -223,8 +232,8 @@
         for destination, data, source in recorded:
             SimulatedCluster.deliver(cluster, destination, data, source)
 
-    fault.at_begin(record)
-    fault.at_end(replay)
+    fault.schedule_at_begin(record)
+    fault.schedule_at_end(replay)
     fault.describe("replay")
 
 
@@ -240,11 +249,11 @@
     _cut_zone_off,
     _replay_datagrams,
 )
-"""The kinds of faults; their order is part of what a seed draws."""
+"""The kinds of faults; a change of their order would change the schedule of each seed."""
 
 
 def exceeded_limits(instance: SimulatedInstance, server_count: int) -> list[str]:
-    """Return the limits that an instance exceeds, one line each."""
+    """Return a line for each limit that an instance exceeds."""
     node = instance.node
     assert node is not None
     swim, suspicions = node.swim, node.suspicions
@@ -269,7 +278,7 @@
 
 
 def unknown_pairs(cluster: SimulatedCluster) -> list[str]:
-    """Return the pairs of running instances of which one does not know the other as it is, a line each."""
+    """Return a line for each running instance that does not know another one as alive at its address."""
     lines = []
     for observer in cluster.instances:
         for peer in cluster.instances:
@@ -279,12 +288,12 @@
             alive = member is not None and member.state is MemberState.ALIVE
             if member is None or not alive or member.alive.address != peer.address:
                 state = member and member.state.value
-                lines.append(f"{observer.number} takes {peer.number} for {state}")
+                lines.append(f"instance {observer.number} takes instance {peer.number} for {state}")
     return lines
 
 
 def run_schedule(schedule: FaultSchedule) -> list[str]:
-    """Run a schedule and return what did not hold, a few lines at most."""
+    """Run a schedule and return its violations, a few lines at most."""
     cluster = SimulatedCluster(
         schedule.instances,
         seed=schedule.seed,
@@ -313,12 +322,12 @@
 
 
 def _schedule_action(cluster: SimulatedCluster, action: ScheduledAction) -> None:
-    cluster.call_at(action.at_ms, lambda: action.act(cluster))
+    cluster.call_at(action.at_ms, lambda: action.apply(cluster))
 
 
 def _violations_now(cluster: SimulatedCluster, at_ms: float) -> list[str]:
     return [
-        f"{at_ms:.0f} ms, {instance.number}: {line}"
+        f"{at_ms:.0f} ms, instance {instance.number}: {line}"
         for instance in cluster.instances
         if instance.is_up
         for line in exceeded_limits(instance, len(cluster.servers))
@@ -326,13 +335,13 @@
 
 
 def _violations_at_end(cluster: SimulatedCluster, attempts_at_recovery: dict[str, int]) -> list[str]:
-    """Return what does not hold after recovery: servers in use, members known, requests ended."""
+    """Return violations after recovery: unused servers, unknown members, requests without an end."""
     unused = [
-        f"{name} gets nothing"
+        f"server {name} got no attempts after recovery"
         for name, attempts in attempts_at_recovery.items()
         if cluster.servers[name].attempt_count == attempts
     ]
-    unknown = [f"after all healed {line}" for line in unknown_pairs(cluster)[:3]]
+    unknown = [f"after recovery: {line}" for line in unknown_pairs(cluster)[:3]]
     restarted = {number for number, instance in enumerate(cluster.instances) if instance.restart_count}
     unended = [
         f"request {request_id} has no end"
--- a/client_proxy/emulator/report.py
+++ b/client_proxy/emulator/report.py
@@ -1,6 +1,6 @@
-"""The report of a run: counts by class and window, the rules, and how the servers fared.
+"""The report of a run: requests by class and window, rule violations, and the state of the servers.
 
-`Report` is the JSON document that programs read: its attributes are the document's keys, in their order.
+`Report` is written as a JSON document for programs: its attributes are the document's keys, in this order.
 """
 
 from __future__ import annotations
@@ -32,17 +32,30 @@
     AttemptOutcome.LOST: "Ending.LOST",
     AttemptOutcome.PROXY_GONE: "Ending.GONE",
 }
-"""An attempt's outcome in the digest. They are fixed, so that digests of earlier versions stay comparable."""
+"""Text of an attempt's outcome in the digest; fixed, so that digests of earlier versions stay comparable."""
 
 DIGEST_CHARACTERS = 16
 OUTCOMES = tuple(outcome.value for outcome in RequestOutcome)
 MAX_VIOLATIONS = 20
-"""Violations that a report lists; it counts all of them."""
+"""Violations that a report lists; all of them are counted."""
 
 
 @dataclass
 class ClassReport:
-    """One class of requests; `worth_asked` and `worth_served` are sums of priority weight."""
+    """Figures of one class of requests.
+
+    Attributes:
+        asked: the number of requests.
+        served: the number of requests served within the latency objective.
+        late: the number of requests served after it.
+        refused: the number of requests that ended with a rejection.
+        failed: the number of requests that failed otherwise.
+        tries: the number of client attempts.
+        worth_asked: the priority weight of all requests.
+        worth_served: the priority weight of the requests in `served`.
+        p50_ms: the median latency of the requests in `served` and `late`; None without any.
+        p99_ms: the 99th percentile of the same latencies.
+    """
 
     asked: int = 0
     served: int = 0
@@ -61,14 +74,21 @@
     """A run's report.
 
     Attributes:
-        windows: by time, the outcomes of the requests that began in it, by class.
-        rules: violations of each rule.
-        served_share: of the requests' priority weight, what was served in time.
-        worst_window: the least such share of a window, `worst_class` of a class.
-        wasted_share: of the runs at servers, those whose result reached no client.
-        fates: arrivals at servers by their outcome.
-        digest: of the event log; the same for the same run, to the last event.
-        marks: what happened on the time line.
+        windows: for each window, the outcomes of the requests that began in it, by class.
+        rules: the number of violations of each rule.
+        breaches: the first violations.
+        served_share: the share of the requests' priority weight that was served in time.
+        worst_window: the least served share of a window.
+        worst_class: the least served share of a class.
+        attempts: the number of arrivals at servers.
+        attempts_per_request: the number of arrivals at servers per client attempt.
+        wasted_share: the share of the completed runs at servers whose result reached no client.
+        discovery_calls: the number of requests to discovery.
+        fates: the number of arrivals at servers by outcome.
+        digest: a hash of the event log; equal digests mean equal runs, to the last event.
+        marks: time and description of what happened on the time line.
+        servers: zone, type, counts and samples of each server.
+        crashed: failures of proxies.
     """
 
     day: str
@@ -96,7 +116,7 @@
 
     @property
     def broken(self) -> bool:
-        """Whether a rule was violated or a proxy failed."""
+        """Whether a rule was violated or a proxy crashed."""
         return bool(self.crashed) or any(self.rules.values())
 
     def counts(self) -> dict[str, dict[str, int]]:
@@ -112,7 +132,7 @@
 
 
 def quantile(values: Sequence[float], share: float) -> float | None:
-    """Return a quantile by nearest rank; None without values."""
+    """Return a quantile by the nearest-rank method; None without values."""
     if not values:
         return None
     ranked = sorted(values)
@@ -120,10 +140,10 @@
 
 
 def event_log_digest(event_log: EventLog, start_s: float) -> str:
-    """Return a digest of every arrival at a server and every attempt's outcome, to the microsecond.
+    """Return a digest of all arrivals at servers and all attempts' outcomes, with times in microseconds.
 
     Args:
-        event_log: the log.
+        event_log: the event log.
         start_s: the time on the log's clock at which the scenario began.
     """
     digest = hashlib.sha256()
@@ -144,7 +164,7 @@
 
 
 class _RequestSummary:
-    """Sums over all requests of a run, by class and by window."""
+    """Counts and weights of a run's requests, by class and by window."""
 
     def __init__(self, scenario: Scenario, start_s: float) -> None:
         self._scenario, self._start_s = scenario, start_s
@@ -187,14 +207,14 @@
         return min(self._window_count - 1, max(0, position))
 
     def finish(self) -> None:
-        """Fill in what needs all requests."""
+        """Compute the figures that need all requests: latency quantiles and the windows' served shares."""
         for name, class_report in self.classes.items():
             latencies_ms = self._latencies_ms[name]
-            class_report.p50_ms = _rounded(quantile(latencies_ms, 0.5))
-            class_report.p99_ms = _rounded(quantile(latencies_ms, 0.99))
+            class_report.p50_ms = _round_if_known(quantile(latencies_ms, 0.5))
+            class_report.p99_ms = _round_if_known(quantile(latencies_ms, 0.99))
         for position, window in enumerate(self.windows):
             requested, served = self._weight_requested[position], self._weight_served[position]
-            window["served_share"] = _rounded(served / requested) if requested else None
+            window["served_share"] = _round_if_known(served / requested) if requested else None
 
     def served_share(self) -> float:
         requested = sum(class_report.worth_asked for class_report in self.classes.values())
@@ -289,20 +309,20 @@
     }
 
 
-def _rounded(value: float | None) -> float | None:
+def _round_if_known(value: float | None) -> float | None:
     return None if value is None else round(value, 3)
 
 
-# Text for a terminal
+# Formatting for a terminal
 
 
 def format_percentage(part: float, whole: float) -> str:
-    """Return `part` as a percentage of `whole`, seven characters wide at most."""
+    """Return `part` as a percentage of `whole`, at most seven characters wide."""
     return f"{100.0 * part / whole:5.1f}%" if whole else "    -"
 
 
 def format_window(elapsed_s: float, ended: Sequence[ClientRequest]) -> str:
-    """Return one line of progress for the requests that ended since the last one."""
+    """Return a line of progress for the requests that ended since the last line."""
     counts = Counter(request.outcome.value for request in ended)
     columns = "  ".join(f"{outcome} {counts[outcome]:5d}" for outcome in OUTCOMES)
     in_time = format_percentage(counts[RequestOutcome.SERVED.value], len(ended))
@@ -310,7 +330,7 @@
 
 
 def format_report(report: Report) -> str:
-    """Return the report as text for a terminal."""
+    """Return the report formatted for a terminal."""
     width = max(len(name) for name in [*report.classes, "window"])
     lines = [
         f"{report.day}: {report.length_s:g} s, {report.proxies} proxies, seed {report.seed}, "
--- a/client_proxy/emulator/request_plan.py
+++ b/client_proxy/emulator/request_plan.py
@@ -1,6 +1,6 @@
-"""What clients request, and when: drawn from the scenario's seed before the run begins.
+"""The requests of clients and their times, drawn from the scenario's seed before the run begins.
 
-So it is the same on every clock and with every build.
+The plan is therefore the same on every clock and with every build.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """A request that a client will make; `number` counts those of its proxy."""
+    """A request that a client will make; `number` is its position among the requests at its proxy."""
 
     at_s: float
     number: int
@@ -27,7 +27,8 @@
 def plan_requests(scenario: Scenario, proxy: int) -> list[PlannedRequest]:
     """Return all requests of one proxy's clients: a Poisson process whose rate follows the scenario.
 
-    Requests are drawn at the highest rate and kept with the share that the rate at their time has of it.
+    Requests are drawn at the highest rate, and each is kept with a probability equal to the rate at its time
+    divided by the highest rate.
     """
     clients = scenario.clients
     rates = clients.relative_rates or (1.0,) * clients.proxies
@@ -53,7 +54,7 @@
 
 
 class _Draws:
-    """The draws of one request; the order in which they are taken is part of a run."""
+    """The random draws of one request; a change of their order would change every plan."""
 
     def __init__(self, random: Random, total_share: float, distinct_keys: int) -> None:
         self.acceptance = random.random()
--- a/client_proxy/emulator/rules.py
+++ b/client_proxy/emulator/rules.py
@@ -1,6 +1,11 @@
-"""The four rules that every run is checked against: `lost`, `twice`, `drain` and `push`.
+"""The four rules that every run is checked against.
 
-A violation is reported with the attempt's id, the place and the time.
+- `lost`: each attempt gets exactly one complete response, which is genuine, unless its proxy was killed.
+- `twice`: no request takes effect more often than its class allows.
+- `drain`: a draining server gets no new work after a grace period.
+- `push`: no cold server crashes under overload.
+
+A violation is reported with its time, the attempt's id and the server or proxy.
 """
 
 from __future__ import annotations
@@ -22,15 +27,15 @@
 from client_proxy.emulator.scenario import RequestClassSpec, Scenario
 
 RULES = ("lost", "twice", "drain", "push")
-DEEMED_NOTIFIED_S = 6.0
-"""A proxy counts as notified so long after discovery knew of a change, whether or not it was."""
+ASSUMED_NOTIFIED_S = 6.0
+"""This long after discovery learnt of a change, every proxy counts as notified, whether or not it was."""
 SOCKET_MARGIN_MS = 50.0
-"""Each limit is this much longer, as real sockets take time."""
+"""Added to the drain grace, since delivery over real sockets takes time."""
 
 
 @dataclass(frozen=True, slots=True)
 class RuleViolation:
-    """A violation of one of `RULES`."""
+    """A violation of one of `RULES`; `at_s` is its time on the event log's clock."""
 
     rule: str
     at_s: float
@@ -39,7 +44,7 @@
 
 @dataclass
 class RuleCheck:
-    """The result of checking a run."""
+    """The violations found in a run."""
 
     violations: list[RuleViolation] = field(default_factory=list)
 
@@ -58,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a server stands."""
+    """The zone and rack of a server."""
 
     zone: str
     rack: int
@@ -71,14 +76,14 @@
     placements: Mapping[str, Placement],
     end_s: float,
 ) -> RuleCheck:
-    """Check a run.
+    """Check a run against all rules.
 
     Args:
         scenario: the scenario that was run.
-        event_log: its events.
-        changes: by server, each change of its state and when discovery knew of it.
-        placements: by server.
-        end_s: the end of the run; attempts that were still open then are not judged.
+        event_log: the run's events.
+        changes: for each server, its changes of state with the time at which discovery learnt of them.
+        placements: the zone and rack of each server.
+        end_s: the end of the run; attempts whose deadline had not passed by then are not judged.
     """
     result = RuleCheck()
     _check_lost(scenario, event_log, end_s, result)
@@ -91,7 +96,7 @@
 
 
 def _check_lost(scenario: Scenario, event_log: EventLog, end_s: float, result: RuleCheck) -> None:
-    """Find attempts without an answer, with another one's, or with two."""
+    """Find attempts without a response, with one that was not made for them, or with two."""
     grace_s = scenario.rules.answer_grace_ms / 1000.0
     for attempt in event_log.attempts.values():
         name = attempt.attempt_id
@@ -119,7 +124,7 @@
     second: Arrival,
     placements: Mapping[str, Placement],
 ) -> bool:
-    """Return whether the servers of both arrivals drop each other's repeats."""
+    """Return whether the servers of both arrivals deduplicate requests together."""
     if request_class.idempotency_scope == "all":
         return True
     if request_class.idempotency_scope == "zone":
@@ -130,7 +135,7 @@
 def _check_duplicates(
     scenario: Scenario, event_log: EventLog, placements: Mapping[str, Placement], result: RuleCheck
 ) -> None:
-    """Find effects that happened twice, or may have: repeated, or rejected, against their class."""
+    """Find requests that may have taken effect twice, or that were rejected although they may have run."""
     classes = {request_class.name: request_class for request_class in scenario.classes}
     arrivals_by_id: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in event_log.arrivals:
@@ -156,7 +161,7 @@
     placements: Mapping[str, Placement],
     result: RuleCheck,
 ) -> None:
-    """Find repeats that the class does not allow after `first`, which may have run."""
+    """Find arrivals after `first` that the class does not allow, because `first` may have run."""
     subject = f"{first.attempt_id} ({request_class.name})"
     for arrival in arrivals[arrivals.index(first) + 1 :]:
         if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
@@ -179,12 +184,12 @@
 def _check_rejection(
     request_class: RequestClassSpec, attempt: ClientAttempt, first: Arrival, result: RuleCheck
 ) -> None:
-    """Find a rejection, which says that nothing ran, of what may have run."""
+    """Find a rejection, which promises that nothing ran, although the request may have run."""
     deduplicated_by_all = (
         request_class.idempotency is Idempotency.IDEMPOTENCY_KEY and request_class.idempotency_scope == "all"
     )
     if attempt.outcome is AttemptOutcome.REJECTED and not deduplicated_by_all:
-        # What arrived after the rejection was sent after the final answer, which is as bad.
+        # An arrival after the rejection counts too: it was sent after the final response.
         subject = f"{first.attempt_id} ({request_class.name})"
         result.add("twice", attempt.ended_s, f"{subject}: refused, and it may have run at {first.server}")
 
@@ -195,11 +200,11 @@
     changes: Mapping[str, Sequence[Notification]],
     result: RuleCheck,
 ) -> None:
-    """Find new work at a server past the grace, counted from when its proxy was notified."""
+    """Find work sent to a server after the drain grace, counted from the proxy's notification."""
     grace_s = (scenario.rules.drain_grace_ms + SOCKET_MARGIN_MS) / 1000.0
     history = _notification_history(event_log, changes)
     for arrival in event_log.arrivals:
-        closed_s = _closed_since(history.get((arrival.proxy, arrival.server), ()), arrival.first_byte_s)
+        closed_s = _closed_since_s(history.get((arrival.proxy, arrival.server), ()), arrival.first_byte_s)
         if closed_s is not None and arrival.first_byte_s > closed_s + grace_s:
             over_ms = 1000.0 * (arrival.first_byte_s - closed_s)
             description = (
@@ -212,7 +217,7 @@
 def _notification_history(
     event_log: EventLog, changes: Mapping[str, Sequence[Notification]]
 ) -> dict[tuple[int, str], list[Notification]]:
-    """Return what each proxy was notified of each server, or counts as notified of, by time."""
+    """Return the notifications of each proxy about each server, real and assumed, in order of time."""
     history: dict[tuple[int, str], list[Notification]] = defaultdict(list)
     for notification in event_log.notifications:
         history[notification.proxy, notification.server].append(notification)
@@ -220,19 +225,21 @@
     for server, server_changes in changes.items():
         for position, change in enumerate(server_changes):
             newer = {(later.status, later.since_ms) for later in server_changes[position:]}
-            deemed_s = change.at_s + DEEMED_NOTIFIED_S
+            assumed_s = change.at_s + ASSUMED_NOTIFIED_S
             for proxy in proxies:
                 known = history[proxy, server]
-                # A proxy counts as notified by then, unless this or something newer reached it before.
-                if not any((item.status, item.since_ms) in newer and item.at_s <= deemed_s for item in known):
-                    known.append(Notification(proxy, server, change.status, deemed_s, change.since_ms))
+                # A notification is assumed unless this change or a newer one has reached the proxy by then.
+                if not any(
+                    (item.status, item.since_ms) in newer and item.at_s <= assumed_s for item in known
+                ):
+                    known.append(Notification(proxy, server, change.status, assumed_s, change.since_ms))
     for known in history.values():
         known.sort(key=lambda notification: notification.at_s)
     return history
 
 
-def _closed_since(notifications: Sequence[Notification], until_s: float) -> float | None:
-    """Return since when the server takes no new work of a proxy that has these notifications."""
+def _closed_since_s(notifications: Sequence[Notification], until_s: float) -> float | None:
+    """Return since when these notifications have closed the server to new work; None: it is open."""
     closed_s: float | None = None
     for notification in notifications:
         if notification.at_s > until_s:
--- a/client_proxy/emulator/scenario.py
+++ b/client_proxy/emulator/scenario.py
@@ -1,8 +1,8 @@
-"""Models of a scenario: servers, clients, discovery, network and the faults of one simulated day.
+"""Models of a scenario: servers, clients, discovery, network and faults of one simulated run.
 
-Times are seconds from the scenario's start where a name ends in `_s`, milliseconds where it ends in `_ms`;
-work is milliseconds on a core of speed 1. `scenario_reader` reads scenarios from files, `scenario_writer`
-writes them; every key of the file is described in docs/operators/rehearsal.md.
+Names ending in `_s` are in seconds, names ending in `_ms` in milliseconds; points in time count from the
+scenario's start. Work is given as milliseconds on a core of speed 1. `scenario_reader` reads scenarios from
+files and `scenario_writer` writes them; docs/operators/rehearsal.md describes every key of the file.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     "keyed": (Idempotency.IDEMPOTENCY_KEY, "dedup"),
     "unsafe": (Idempotency.NOT_IDEMPOTENT, "fragile"),
 }
-"""By the file's name of an effect: the idempotency, and its name in a proxy's settings."""
+"""Maps an effect's name in the file to the idempotency and to its name in a proxy's settings."""
 
 SERVER_FAULTS = (
     "fail",
@@ -36,9 +36,11 @@
 )
 """Kinds of faults that affect servers."""
 OTHER_FAULTS = ("costly", "load", "discovery", "proxy_restart", "proxy_kill", "cut")
-"""Kinds of faults that affect something else."""
+"""Kinds of faults that affect requests, discovery, proxies or the network."""
 FAIL_MODES = ("error", "reset", "silent", "spoilt", "lost")
+"""How a `fail` fault affects a request; the first is the default."""
 DISCOVERY_MODES = ("503", "silent", "reset")
+"""How discovery behaves during a `discovery` fault; the first is the default."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,13 +48,17 @@
     """A class of requests.
 
     Attributes:
-        share: of all requests, relative to the other classes' shares.
-        work_ms: mean work of a request.
+        share: the weight of this class among all requests, relative to the other classes' shares.
+        work_ms: the mean work of a request.
+        latency_objective_ms: the time within which a response counts as served; a later one counts as late.
+        deadline_ms: the time after which a client no longer waits for the response.
         effect: a key of `EFFECTS`.
-        work_variation: coefficient of variation of the work.
-        attempt_noise: coefficient of variation of the work of each attempt of one request.
-        idempotency_scope: which servers deduplicate: `all`, `zone` or `cell`.
-        idempotency_window_ms: for how long they do.
+        work_variation: the coefficient of variation of the work between requests.
+        attempt_noise: the coefficient of variation of the work between attempts of one request.
+        priority_weight: the weight of a request of this class in the served share.
+        idempotency_scope: which servers deduplicate together: `all`, those of a `zone`, or those of a `cell`
+            (a rack).
+        idempotency_window_ms: how long servers remember an idempotency key.
     """
 
     name: str
@@ -69,7 +75,7 @@
 
     @property
     def idempotency(self) -> Idempotency:
-        """Whether a request of this class may be repeated."""
+        """Whether and how a request of this class may be repeated."""
         return EFFECTS[self.effect][0]
 
 
@@ -78,22 +84,28 @@
     """A type of server.
 
     Attributes:
-        slots_per_core: requests that run at the same time.
-        queue_per_core: requests that wait for a slot.
-        max_connections: connections whose requests are taken; those above are rejected.
-        handshake_ms: work that opening a connection costs.
-        cold_capacity: the share of its capacity that it has when it starts.
-        warm_up_s: after which it has all of it, or
-        warm_up_requests: after so many requests; 0: by time.
-        congestion_threshold: it is congested with more requests than cores + this x root of cores; 0: never.
-        congestion_window_s: over which the requests are averaged.
-        congestion_slowdown: how many times as long work takes then.
-        congestion_exit_use: the use of its cores below which it recovers,
-        congestion_exit_s: after so long below it, or
-        congestion_max_s: after so long in any case.
-        cancellation: `queued` if the queued work of a connection that ended is dropped, or `none`.
-        drops_expired: whether work whose time is up is dropped before it starts.
-        pause_interval_s: time between two pauses, each of `pause_ms`; 0: none.
+        cores: the number of cores.
+        speed: the speed of a core; work of 1 ms takes 1 ms on a core of speed 1.
+        slots_per_core: the number of requests per core that run at the same time.
+        queue_per_core: the number of requests per core that may wait for a slot.
+        max_connections: the number of connections whose requests are accepted; requests on further
+            connections are rejected.
+        handshake_ms: the work that opening a connection costs.
+        idle_timeout_s: the time after which an idle connection is closed.
+        cold_capacity: the share of its capacity that a server has when it starts.
+        warm_up_s: the time after its start at which a server has its full capacity.
+        warm_up_requests: the number of requests after which a server has its full capacity; 0: the warm-up
+            depends on time alone.
+        congestion_threshold: a server becomes congested when it has more requests than
+            cores + this x the square root of cores; 0: never.
+        congestion_window_s: the time over which the number of requests is averaged for this.
+        congestion_slowdown: the factor by which work takes longer on a congested server.
+        congestion_exit_use: the share of busy cores below which a congested server recovers.
+        congestion_exit_s: the time that it has to stay below this share to recover.
+        congestion_max_s: the time after which congestion ends in any case.
+        cancellation: `queued` if a server drops queued work whose connection has closed, else `none`.
+        drops_expired: whether work whose deadline has passed is dropped before it starts.
+        pause_interval_s: the time between two pauses, each of `pause_ms`; 0: no pauses.
     """
 
     name: str
@@ -121,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSpec:
-    """One server; `start_s` of 0: it runs and is warm from the start."""
+    """One server; with a `start_s` of 0 it runs and is warm when the scenario starts."""
 
     name: str
     server_type: ServerType
@@ -132,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerGroup:
-    """A number of equal servers, as the file states them; `server_type` is the type's name."""
+    """A number of equal servers, as stated in the file; `server_type` is the name of their type."""
 
     server_type: str
     zone: str
@@ -146,19 +158,20 @@
     """A fault, or a change of load, on the time line.
 
     Attributes:
-        at_s: when it begins.
+        at_s: the time at which it begins.
         kind: one of `SERVER_FAULTS` or `OTHER_FAULTS`.
         duration_s: how long it lasts.
-        servers: the servers that it affects; empty: all, or those of `zone`.
-        server_share: of these servers, the share that is drawn; 0: all of them.
-        stagger_s: delay from each server or proxy to the next.
-        share: of requests that it affects.
-        mode: how a `fail` or `discovery` fault shows.
-        classes: the classes that it affects; empty: all.
-        factor: by which work, load or time is multiplied.
-        pause_interval_ms: time between two pauses, each of `pause_ms`.
-        delay_ms: after which a failing request is answered.
-        downtime_s: between the end of a process and its start.
+        servers: the names of the servers that it affects; empty: all servers, or those of `zone`.
+        zone: the zone whose servers it affects, or that is partitioned from the others; empty: any zone.
+        server_share: the share of these servers that is drawn at random; 0: all of them.
+        stagger_s: the delay from one affected server or proxy to the next.
+        share: the share of requests that it affects.
+        mode: one of `FAIL_MODES` or `DISCOVERY_MODES`, for faults of these two kinds.
+        classes: the request classes that it affects; empty: all.
+        factor: the factor by which work, load or running time is multiplied.
+        pause_interval_ms: the time between two pauses, each of `pause_ms`.
+        delay_ms: the time after which a failing request is answered.
+        downtime_s: the time from the end of a process to its next start.
         proxies: the proxies that it affects; empty: all.
     """
 
@@ -182,16 +195,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientSettings:
-    """The clients of all proxies.
+    """Settings of the clients of all proxies.
 
     Attributes:
-        rate_per_s: requests of all proxies' clients together.
-        relative_rates: by proxy; empty: all alike.
-        rate_curve: points (second, factor) of the rate over time, with straight lines between them.
-        attempt_deadline_share: an attempt is given up after this share of its class's deadline.
-        honours_retry_after: whether they wait for a response's Retry-After, `max_retry_after_ms` at most.
-        distinct_keys: number of different keys in requests.
-        max_connections: of the clients of one proxy.
+        proxies: the number of proxies.
+        rate_per_s: the rate of requests of all clients together.
+        relative_rates: the relative rate of each proxy's clients; empty: the same for all.
+        rate_curve: points (second, factor) of the rate over time; the factor is interpolated linearly.
+        max_retries: the number of retries after the first attempt of a request.
+        backoff_ms: the delay before a retry.
+        attempt_deadline_share: the share of the class's deadline after which a client gives up an attempt.
+        honours_retry_after: whether clients wait for a response's Retry-After, `max_retry_after_ms` at most.
+        distinct_keys: the number of different keys in requests.
+        max_connections: the number of connections that the clients of one proxy open at most.
     """
 
     proxies: int = 3
@@ -209,7 +225,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NetworkSettings:
-    """One-way delays within a zone and between zones, and the cost of a connection."""
+    """One-way delays within a zone and between zones, and the round trips and time limit of a handshake."""
 
     same_zone_ms: float = 0.25
     cross_zone_ms: float = 2.0
@@ -219,7 +235,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReportSettings:
-    """Servers' load reports: their fields, how often they are measured, how late and how noisy they are."""
+    """Servers' load reports: their fields, interval of measurement, delay, and relative noise."""
 
     fields: tuple[str, ...] = ("inflight", "queue", "latency_ms")
     period_ms: float = 700.0
@@ -229,14 +245,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoverySettings:
-    """Discovery.
+    """Settings of discovery.
 
     Attributes:
         subscribes: whether proxies watch the endpoint list themselves.
-        start_delay_ms: until it knows of a server's start.
-        removal_delay_ms: until it knows of a server that drains or ended.
-        stall_delay_ms: until it knows of a server that no longer answers.
-        latency_ms: of its responses.
+        start_delay_ms: the delay from a server's start until discovery lists it.
+        removal_delay_ms: the delay until discovery knows that a server is draining or has ended.
+        stall_delay_ms: the delay until discovery knows that a server no longer answers.
+        latency_ms: the latency of discovery's responses.
     """
 
     subscribes: bool = True
@@ -251,12 +267,18 @@
     """Limits of the rules that a run is checked against, and of the proxies' settings.
 
     Attributes:
-        drain_grace_ms: for which new work may reach a server after its proxy was notified that it drains.
-        crash_multiple: a cold server crashes under so many times the work that it can do
-        crash_window_ms: in a window of this length.
-        slow_start_share: the share of its capacity that a proxy assumes of a server that has just started.
-        slow_start_ms: after which it assumes all of it.
-        answer_grace_ms: for which a client waits after its deadline before the attempt counts as lost.
+        drain_grace_ms: the time for which new work may reach a server after the proxy was notified that the
+            server is draining.
+        crash_multiple: a cold server crashes when it gets this many times the work that it can do within
+            `crash_window_ms`.
+        crash_window_ms: the length of the window over which that work is counted.
+        slow_start_share: the share of its capacity that a proxy assumes for a server that has just started.
+        slow_start_ms: the time after a server's start from which a proxy assumes its full capacity.
+        answer_grace_ms: the time that a client waits after its deadline before the attempt counts as lost.
+        max_attempts: the number of attempts that a proxy makes for one client attempt at most.
+        hedged_requests: whether proxies may send hedged requests.
+        retry_after: whether proxies add Retry-After to rejections.
+        max_poll_interval_ms: the longest time between two requests of a proxy to discovery.
     """
 
     drain_grace_ms: float = 1000.0
@@ -276,11 +298,12 @@
     """The ranges in which `explore` varies a scenario.
 
     Attributes:
-        max_shift_s: by which a fault begins earlier or later.
-        duration_factors: least and greatest factor of a fault's duration.
-        rate_factors: of the clients' rate.
-        size_factors: of a fault's share, server share or factor.
-        min_served_share: of the requests' priority weight; a run with less is a finding.
+        max_shift_s: the time by which a fault begins earlier or later at most.
+        duration_factors: the least and the greatest factor of a fault's duration.
+        rate_factors: the least and the greatest factor of the clients' rate.
+        size_factors: the least and the greatest factor of a fault's share, server share, factor or pause.
+        min_served_share: the least share of the requests' priority weight that has to be served in time;
+            a run with less is a finding.
     """
 
     max_shift_s: float = 5.0
@@ -292,7 +315,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A whole scenario."""
+    """A whole scenario.
+
+    Attributes:
+        duration_s: the time for which clients make requests.
+        seed: the seed of all random draws.
+        window_s: the length of the windows in which the report counts requests.
+    """
 
     name: str
     duration_s: float
@@ -312,7 +341,7 @@
     faults: tuple[Fault, ...] = ()
 
     def servers(self) -> tuple[ServerSpec, ...]:
-        """Return all servers, named by their zone and a number, in the order of the file."""
+        """Return all servers in the order of the file, each named after its zone and its number in it."""
         types = {server_type.name: server_type for server_type in self.server_types}
         count_by_zone: dict[str, int] = {}
         servers = []
@@ -326,14 +355,14 @@
         return tuple(servers)
 
     def zone_of(self, proxy: int) -> str:
-        """Return the zone of a proxy; they are dealt out over the zones in turn."""
+        """Return the zone of a proxy; proxies are assigned to the zones round robin."""
         return self.zones[proxy % len(self.zones)]
 
     def fault_targets(self, index: int, fault: Fault) -> tuple[str, ...]:
         """Return the servers that a fault affects, in the order of the file.
 
         Args:
-            index: of the fault in the scenario; it seeds the draw of a share of the servers.
+            index: the fault's position in the scenario, which seeds the draw of a share of the servers.
             fault: the fault.
         """
         servers = [server for server in self.servers() if not fault.servers or server.name in fault.servers]
@@ -347,8 +376,8 @@
     def partitioned_proxies(self, index: int, fault: Fault, server: ServerSpec) -> tuple[int, ...]:
         """Return the proxies that a partition separates from a server.
 
-        A partition that names proxies separates these from the servers that it names. That of a zone
-        separates all other proxies from the zone's servers, and the zone's own from all other servers.
+        A partition that names proxies separates these proxies from the servers that it names. The partition
+        of a zone separates proxies in the zone from servers outside it, and other proxies from its servers.
         """
         if fault.proxies:
             return fault.proxies if server.name in self.fault_targets(index, fault) else ()
@@ -358,11 +387,12 @@
         )
 
     def rate_factor(self, at_s: float, class_name: str = "") -> float:
-        """Return the clients' rate at a time as a multiple of the usual one.
+        """Return the clients' rate at a time as a multiple of `rate_per_s`.
 
         Args:
             at_s: the time.
-            class_name: a class, whose own faults of kind `load` count too; empty: what affects all classes.
+            class_name: a class; `load` faults limited to this class are counted too. Empty: only the faults
+                that affect all classes are counted.
         """
         rate_factor = self._curve_factor(at_s)
         for fault in self.faults:
--- a/client_proxy/emulator/scenario_reader.py
+++ b/client_proxy/emulator/scenario_reader.py
@@ -1,7 +1,7 @@
-"""Reads a scenario from a TOML file and checks it as a whole.
+"""Reads a scenario from a TOML file and checks all of it.
 
-Every fault of a file is reported with its line and key. The keys are the file's; the attributes that they
-set are named in `scenario`, and `scenario_writer.FILE_KEYS` maps them back.
+Each error in the file is reported with its line and key. Messages use the file's keys; the dataclasses of
+`scenario` name some attributes differently, and `scenario_writer.FILE_KEYS` maps these to the keys.
 """
 
 from __future__ import annotations
@@ -35,14 +35,16 @@
 from client_proxy.toml_table import File, Table, TomlError, read_text
 
 MAX_DURATION_S = 7 * 24 * 3600
+"""Longest scenario that is accepted: a week."""
 LASTING_FAULTS = ("fail", "freeze", "pauses", "slow", "lies", "costly", "load", "discovery", "cut")
 """Kinds of faults that need a duration."""
 REPORT_FIELDS = ("inflight", "queue", "latency_ms", "util")
+"""Fields that servers can include in their load reports."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownNames:
-    """What the tables of a file may refer to."""
+    """The scenario's duration and the names that a fault's table may refer to."""
 
     duration_s: float
     zones: tuple[str, ...]
@@ -63,7 +65,7 @@
     """Read a scenario from a file's text.
 
     Raises:
-        TomlError: with one line for each fault of the file: file, line, key and what is wrong.
+        TomlError: the text is not a scenario; the message has a line for each error, with file, line and key.
     """
     file = File(text, name)
     top = file.top()
@@ -121,7 +123,7 @@
 
 
 def _with_faults(scenario: Scenario, tables: list[Table]) -> Scenario:
-    """Return the scenario with the faults of these tables, which are checked against it."""
+    """Return the scenario with the faults that these tables describe, checked against the scenario."""
     known = KnownNames(
         duration_s=scenario.duration_s,
         zones=scenario.zones,
--- a/client_proxy/emulator/scenario_writer.py
+++ b/client_proxy/emulator/scenario_writer.py
@@ -1,6 +1,6 @@
-"""Writes a scenario as a TOML file that `scenario_reader` reads back to the same scenario.
+"""Formats a scenario as a TOML file; `scenario_reader` reads the same scenario back from it.
 
-The file's keys are older than the names of the attributes; `FILE_KEYS` is the one place that maps them.
+The file's keys are kept for compatibility where an attribute has another name; `FILE_KEYS` maps them.
 """
 
 from __future__ import annotations
@@ -94,7 +94,7 @@
     },
     Scenario: {"duration_s": "length_s", "zones": "halls", "description": "about"},
 }
-"""By dataclass, the file's key of each attribute that is named otherwise there."""
+"""For each dataclass, the file's key of each attribute whose key differs from its name."""
 
 SINGLE_TABLES = {
     "clients": "clients",
@@ -104,7 +104,7 @@
     "rules": "rules",
     "exploration": "explore",
 }
-"""Attributes of a scenario that are one table each, with the table's name, in the file's order."""
+"""Maps each attribute of a scenario that is a single table to the table's name, in the file's order."""
 
 TABLE_ARRAYS = {
     "classes": "class",
@@ -112,7 +112,7 @@
     "server_groups": "servers",
     "faults": "incident",
 }
-"""Attributes of a scenario that are an array of tables, with the tables' name, in the file's order."""
+"""Maps each attribute of a scenario that is an array of tables to its name, in the file's order."""
 
 
 def format_scenario(scenario: Scenario) -> str:
@@ -127,7 +127,7 @@
 
 
 def _key_lines(settings: Any, skipped: tuple[str, ...] = ()) -> list[str]:
-    """Return a line for each attribute of a dataclass that is not empty."""
+    """Return a `key = value` line for each attribute of a dataclass that is neither empty nor skipped."""
     keys = FILE_KEYS.get(type(settings), {})
     lines = []
     for attribute in fields(settings):
@@ -143,5 +143,5 @@
         return "true" if value else "false"
     if isinstance(value, list | tuple):
         return "[" + ", ".join(format_value(element) for element in value) + "]"
-    # JSON's strings and finite numbers are valid TOML too.
+    # Strings and finite numbers have the same notation in JSON and in TOML.
     return json.dumps(value, ensure_ascii=False)
--- a/client_proxy/emulator/simulated_cluster.py
+++ b/client_proxy/emulator/simulated_cluster.py
@@ -1,12 +1,12 @@
-"""A cluster of instances without sockets: hundreds of balancers and their gossip on one virtual clock.
+"""A simulated cluster without sockets: hundreds of balancers and their gossip on one virtual clock.
 
-Where a whole daemon each would be too much (thousands of instances, thousands of schedules), the decisions
-themselves are simulated: every instance has a real `Balancer` and a real `GossipNode`, the datagrams go
-through a network with loss, duplication, delay and partitions, and servers are a latency and a share of
-failures. The same seed gives the same run, to the last event.
+It serves simulations in which a daemon per instance would be too slow (thousands of instances or schedules).
+Every instance has a real `Balancer` and a real `GossipNode`. Datagrams go through a simulated network with
+loss, duplication, delay and partitions; a server is simulated by a latency and a share of failures. The same
+seed gives the same run, to the last event.
 
-Every instance has a clock of its own, which may be off by hours and run fast, and may stand still for a
-while, as a blocked event loop does.
+Every instance has its own clock, which may be off by hours or run at another rate, and its own event loop,
+which may be blocked for a while.
 """
 
 from __future__ import annotations
@@ -33,25 +33,28 @@
 from client_proxy.membership.settings import GossipSettings
 from client_proxy.membership.suspicions import DEPRIORITIZED_BELOW
 
-IDEMPOTENT_SHARE = 0.6  # of requests
+IDEMPOTENT_SHARE = 0.6  # share of the requests that are idempotent
 GOSSIP_PORT = 7946
 INSTANCES_PER_SUBNET = 250
-RESET_AFTER_MS = 2.0
+RESET_AFTER_MS = 2.0  # time after which a failing server resets an attempt
 
 
 @dataclass(frozen=True, slots=True)
 class NetworkConditions:
-    """What the network does to datagrams."""
+    """Loss, duplication and delay of datagrams."""
 
-    loss: float = 0.0  # share
-    duplication: float = 0.0  # share that arrives twice
-    delay_ms: tuple[float, float] = (0.2, 3.0)  # drawn evenly: what is sent later may arrive sooner
-    late_share: float = 0.0
-    late_delay_ms: float = 2000.0  # on top, of the late share
+    loss: float = 0.0  # share of datagrams that are lost
+    duplication: float = 0.0  # share of datagrams that arrive twice
+    delay_ms: tuple[float, float] = (
+        0.2,
+        3.0,
+    )  # range of the uniformly drawn delay, so datagrams may be reordered
+    late_share: float = 0.0  # share of datagrams with `late_delay_ms` of additional delay
+    late_delay_ms: float = 2000.0
 
 
 class SimulatedCluster:
-    """All instances and servers, the network between them, and their clock."""
+    """All instances and servers, the network between them, and the cluster's clock."""
 
     def __init__(
         self,
@@ -63,55 +66,56 @@
         node_types: dict[int, type[GossipNode]] | None = None,
         network: NetworkConditions | None = None,
         seeds: int = 3,
-        sharers: int = 0,
+        sharing_instances: int = 0,
     ) -> None:
         """Create a cluster; nothing runs before `start`.
 
         Args:
-            instances: their number.
-            servers: their number.
-            seed: of all random draws.
-            gossip: its settings; None: instances do not communicate.
-            fast_signatures: whether signatures are fast and without security.
-            node_types: by instance, another type of node, such as a Byzantine reporter.
-            network: its conditions.
+            instances: the number of instances.
+            servers: the number of servers.
+            seed: the seed of all random draws.
+            gossip: the settings of gossip; None: instances do not communicate.
+            fast_signatures: whether to use fast signatures without security.
+            node_types: node types by instance number, such as Byzantine reporters; default: `GossipNode`.
+            network: the conditions of the network.
             seeds: the number of instances that all others contact first.
-            sharers: the number of instances that share the servers, in the settings of each; 0: their number.
+            sharing_instances: the number of instances that share the servers according to each instance's
+                settings; 0: the actual number.
         """
         self.seed, self.fast_signatures = seed, fast_signatures
         self.random = Random(seed)
         self.network, self.node_types = network or NetworkConditions(), node_types or {}
         self.now_ms, self.event_count = 0.0, 0
         self._events: list[tuple[float, int, Callable[[], object]]] = []
-        self._events_set, self._sharers = 0, sharers or instances
+        self._scheduled_count, self._sharing_instances = 0, sharing_instances or instances
         self.datagrams_lost = self.datagrams_sent = 0
-        self.partitions: list[set[int]] = []  # groups that are cut off from the rest
+        self.partitions: list[set[int]] = []  # groups of instances that are cut off from all others
         self.requests: dict[int, SimulatedRequest] = {}  # by id
         self.servers = {server.name: server for server in map(_create_server, range(servers))}
         self.gossip = _with_seeds(gossip, min(seeds, instances))
-        self.at_address: dict[Address, SimulatedInstance] = {}
+        self.instance_by_address: dict[Address, SimulatedInstance] = {}
         self.instances: list[SimulatedInstance] = []
         for number in range(instances):
             self._add_instance(SimulatedInstance(self, number, self.address(number)))
 
     @staticmethod
     def address(number: int, restart_count: int = 0) -> Address:
-        """Return an instance's address, which differs after each restart elsewhere."""
+        """Return an instance's address; each restart at another address gives a new one."""
         subnet, host = number // INSTANCES_PER_SUBNET, number % INSTANCES_PER_SUBNET + 1
         return f"10.{restart_count}.{subnet}.{host}", GOSSIP_PORT
 
     def balancer_settings(self, number: int) -> Settings:
-        """Return the settings of an instance."""
+        """Return the balancer settings of an instance."""
         classes = (IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS)
         zone = ZONES[number % len(ZONES)]
-        return Settings(classes=classes, proxies=self._sharers, ordinal=number, zone=zone)
+        return Settings(classes=classes, proxies=self._sharing_instances, ordinal=number, zone=zone)
 
     # Time
 
     def call_after(self, delay_ms: float, action: Callable[[], object]) -> None:
         """Run an action after a delay."""
-        self._events_set += 1
-        heapq.heappush(self._events, (self.now_ms + max(0.0, delay_ms), self._events_set, action))
+        self._scheduled_count += 1
+        heapq.heappush(self._events, (self.now_ms + max(0.0, delay_ms), self._scheduled_count, action))
 
     def call_at(self, at_ms: float, action: Callable[[], object]) -> None:
         """Run an action at a time."""
@@ -133,12 +137,12 @@
     # The network
 
     def partition(self, groups: Iterable[Iterable[int]]) -> None:
-        """Cut groups of instances off from all others; without groups, the network is whole again."""
+        """Cut each group of instances off from all others; without groups, end all partitions."""
         self.partitions = [set(group) for group in groups]
 
     def transmit(self, sender: SimulatedInstance, data: bytes, destination: Address) -> None:
-        """Carry a datagram, under the network's conditions."""
-        receiver = self.at_address.get(destination)
+        """Send a datagram through the network, under its conditions."""
+        receiver = self.instance_by_address.get(destination)
         self.datagrams_sent += 1
         if receiver is None or not receiver.is_up or self._is_partitioned(sender.number, receiver.number):
             return
@@ -153,8 +157,8 @@
             self.call_after(delay_ms, lambda: self.deliver(destination, data, sender.address))
 
     def deliver(self, destination: Address, data: bytes, source: Address) -> None:
-        """Hand a datagram to whoever has its address now."""
-        receiver = self.at_address.get(destination)
+        """Deliver a datagram to the instance that has its destination address now."""
+        receiver = self.instance_by_address.get(destination)
         if receiver is not None and receiver.is_up:
             receiver.receive_datagram(data, source)
 
@@ -164,11 +168,11 @@
     # Instances
 
     def kill(self, number: int) -> None:
-        """End an instance at once."""
+        """Stop an instance at once, without a shutdown."""
         self.instances[number].is_up = False
 
     def restart(self, number: int, moved: bool = False) -> SimulatedInstance:
-        """Start an instance anew, without memory; `moved`: under another address."""
+        """Restart an instance without its state; with `moved` set, at another address."""
         old = self.instances[number]
         old.is_up = False
         restart_count = old.restart_count + 1
@@ -183,19 +187,19 @@
             self.instances[instance.number] = instance
         else:
             self.instances.append(instance)
-        self.at_address[instance.address] = instance
+        self.instance_by_address[instance.address] = instance
 
     # Requests
 
     def schedule_traffic(
         self, rate_per_s: float, from_ms: float, until_ms: float, among: Sequence[int] = ()
     ) -> None:
-        """Draw the requests of the whole cluster, as a Poisson process, at instances drawn evenly.
+        """Draw the requests of the whole cluster: a Poisson process with uniformly drawn instances.
 
         Args:
-            rate_per_s: of the whole cluster.
-            from_ms: when it begins.
-            until_ms: when it ends.
+            rate_per_s: the rate of requests to the whole cluster.
+            from_ms: the time at which the requests begin.
+            until_ms: the time at which the requests end.
             among: the instances that get requests; by default all.
         """
         numbers = list(among) or list(range(len(self.instances)))
@@ -214,10 +218,10 @@
         return request_id
 
     def finish_request(self, request_id: int, outcome: RequestOutcome) -> None:
-        """Note how a request ended.
+        """Record how a request ended.
 
         Raises:
-            RuntimeError: it had ended already, which is a fault of the balancer.
+            RuntimeError: the request had already ended, which is a bug of the balancer.
         """
         request = self.requests[request_id]
         if request.outcome is not RequestOutcome.OPEN:
@@ -229,7 +233,7 @@
     def draw_outcome(
         self, server: SimulatedServer, client: SimulatedInstance, request_class: RequestClass
     ) -> tuple[Outcome, float]:
-        """Draw how an attempt ends, and after how many ms."""
+        """Draw the outcome of an attempt, and the time in ms after which it ends."""
         latency_ms = server.latency_ms * server.slowdown * self.random.uniform(0.6, 1.6)
         is_unreachable = client.zone in server.unreachable_from
         if is_unreachable or self._occurs(server, server.stalled_share, request_class):
@@ -247,9 +251,9 @@
     def lost_weight(
         self, from_ms: float, until_ms: float, excluded: Sequence[int] = ()
     ) -> tuple[float, float]:
-        """Return the priority weight of the requests that were not served in time, and that of all.
+        """Return the priority weight of the requests that were not served in time, and of all requests.
 
-        Counted are those that arrived in a span of time, but not at the excluded instances.
+        Counted are requests that arrived from `from_ms` to before `until_ms`, except at excluded instances.
         """
         lost = total = 0.0
         for request in self.requests.values():
@@ -260,7 +264,7 @@
         return lost, total
 
     def deprioritizing_share(self, server: str, excluded: Sequence[int] = ()) -> float:
-        """Return the share of instances that deprioritize a server now, without the excluded ones."""
+        """Return the share of running instances that deprioritize a server now, without the excluded ones."""
         counted = [
             instance
             for instance in self.instances
@@ -278,7 +282,7 @@
 
 
 def _with_seeds(gossip: GossipSettings | None, count: int) -> GossipSettings | None:
-    """Set the first instances as those that all contact first."""
+    """Return the settings with the first `count` instances as the seeds of gossip."""
     if gossip is None:
         return None
     return replace(gossip, seeds=tuple(SimulatedCluster.address(number) for number in range(count)))
--- a/client_proxy/emulator/simulated_instance.py
+++ b/client_proxy/emulator/simulated_instance.py
@@ -37,13 +37,13 @@
     "entry-register", latency_objective_ms=800.0, deadline_ms=1500.0, priority_weight=10.0
 )
 ZONES = ("lozenets", "mladost", "lyulin")
-START_CLOCK_MS = 5000.0
-MIN_DELAY_MS = 0.01
-TIMER_DELAY_MS = 0.001  # by which a timer fires later than asked, since it must not fire early
+START_CLOCK_MS = 5000.0  # an instance's clock when the cluster's clock is 0
+MIN_DELAY_MS = 0.01  # least delay until a gossip node is woken
+TIMER_DELAY_MS = 0.001  # added to each timer's delay, since a timer must not fire early
 
 
 class RequestOutcome(Enum):
-    """How a request ended."""
+    """The state of a request: still open, or how it ended."""
 
     OPEN = "open"
     SERVED = "served"
@@ -53,16 +53,16 @@
 
 @dataclass(slots=True)
 class SimulatedServer:
-    """A server: a latency and the shares of attempts that fail or stay without an answer."""
+    """A server: a latency, and the shares of attempts that fail or get no response."""
 
     name: str
     zone: str
     latency_ms: float = 40.0
     failure_share: float = 0.0
     stalled_share: float = 0.0
-    only_class: str = ""  # whose attempts fail; "": those of all classes
-    slowdown: float = 1.0
-    unreachable_from: set[str] = field(default_factory=set)  # zones
+    only_class: str = ""  # name of the only class whose attempts fail or stall; "": all classes
+    slowdown: float = 1.0  # factor on the latency
+    unreachable_from: set[str] = field(default_factory=set)  # zones whose attempts get no response
     attempt_count: int = 0
 
     def listed(self) -> ListedEndpoint:
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class SimulatedRequest:
-    """One request of a client, and what became of it."""
+    """One request of a client, its attempts and its outcome."""
 
     arrived_ms: float
     instance: int
@@ -80,7 +80,7 @@
     outcome: RequestOutcome = RequestOutcome.OPEN
     ended_ms: float = 0.0
     attempted_servers: list[str] = field(default_factory=list)
-    executions: int = 0  # attempts that a server ran, or may have run
+    executions: int = 0  # number of attempts that a server ran, or may have run
 
     @property
     def is_in_time(self) -> bool:
@@ -90,7 +90,7 @@
 
 
 class ClusterEnvironment(Protocol):
-    """What an instance needs of its cluster."""
+    """The parts of its cluster that an instance uses."""
 
     seed: int
     fast_signatures: bool
@@ -101,25 +101,25 @@
     requests: dict[int, SimulatedRequest]
 
     def balancer_settings(self, number: int) -> Settings:
-        """Return the settings of an instance."""
+        """Return the balancer settings of an instance."""
 
     def call_after(self, delay_ms: float, action: Callable[[], object]) -> None:
-        """Run an action later, on the cluster's clock."""
+        """Run an action after a delay on the cluster's clock."""
 
     def transmit(self, sender: SimulatedInstance, data: bytes, destination: Address) -> None:
-        """Carry a datagram over the network."""
+        """Send a datagram through the network."""
 
     def draw_outcome(
         self, server: SimulatedServer, client: SimulatedInstance, request_class: RequestClass
     ) -> tuple[Outcome, float]:
-        """Draw how an attempt ends, and after how many ms."""
+        """Draw the outcome of an attempt, and the time in ms after which it ends."""
 
     def finish_request(self, request_id: int, outcome: RequestOutcome) -> None:
-        """Note how a request ended."""
+        """Record how a request ended."""
 
 
 class SimulatedInstance:
-    """One client proxy, with a clock that may be wrong and a loop that may be blocked."""
+    """One instance of the proxy, with a clock that may be wrong and an event loop that may be blocked."""
 
     def __init__(
         self, cluster: ClusterEnvironment, number: int, address: Address, restart_count: int = 0
@@ -142,7 +142,7 @@
         return self.clock_offset_ms + self.clock_rate * self.cluster.now_ms
 
     def start(self) -> None:
-        """Take the endpoint list and join the gossip."""
+        """Read the endpoint list and join the gossip."""
         self.send_endpoint_list()
         if self.node is not None:
             self.node.start(self.now_ms())
@@ -156,7 +156,7 @@
     def call_later(self, delay_ms: float, action: Callable[[], None]) -> None:
         """Run an action after a delay on this instance's clock.
 
-        It waits while the instance's loop is blocked, and is dropped once the instance has ended.
+        The action waits while the instance's event loop is blocked, and is dropped if the instance has ended.
         """
 
         def run() -> None:
@@ -171,7 +171,7 @@
         self.cluster.call_after(delay_ms / self.clock_rate, run)
 
     def score_factor(self, server: str) -> float:
-        """Return the factor on a server's score for a request that is not idempotent."""
+        """Return the score factor of a server for a request that is not idempotent."""
         if self.node is None:
             return 1.0
         return self.node.suspicions.score_factor(self.now_ms(), server, NON_IDEMPOTENT_CLASS.name)
@@ -179,7 +179,7 @@
     # Gossip
 
     def send_datagrams(self) -> None:
-        """Send the datagrams that wait, and set a timer for what comes next."""
+        """Send the node's outgoing datagrams, and set a timer for its next action."""
         node = self.node
         if node is None or not self.is_up:
             return
@@ -191,10 +191,10 @@
         due_ms = min(node.due_ms, now + batch.wait_ms)
         if due_ms < self._node_due_ms:
             self._node_due_ms = due_ms
-            self.call_later(max(MIN_DELAY_MS, due_ms - now), lambda: self._wake(due_ms))
+            self.call_later(max(MIN_DELAY_MS, due_ms - now), lambda: self._wake_node(due_ms))
 
     def receive_datagram(self, data: bytes, source: Address) -> None:
-        """Take a datagram as soon as the loop is not blocked."""
+        """Give a datagram to the node as soon as the event loop is not blocked."""
 
         def receive() -> None:
             if self.node is not None:
@@ -203,7 +203,7 @@
 
         self.call_later(0.0, receive)
 
-    def _wake(self, due_ms: float) -> None:
+    def _wake_node(self, due_ms: float) -> None:
         if due_ms != self._node_due_ms or self.node is None:
             return
         self._node_due_ms = float("inf")
@@ -222,7 +222,7 @@
     # Requests
 
     def submit(self, request_id: int, request_class: RequestClass) -> None:
-        """Take a client's request."""
+        """Give a client's request to the balancer."""
 
         def arrive() -> None:
             deadline_ms = self.now_ms() + request_class.deadline_ms
@@ -261,12 +261,12 @@
         request.executions += outcome is not Outcome.CONNECT_FAILED
         sent_ms = self.now_ms()
 
-        def end() -> None:
+        def end_attempt() -> None:
             is_answer = outcome is Outcome.OK and request.outcome is RequestOutcome.OPEN
             if is_answer:
                 cluster.finish_request(action.request_id, RequestOutcome.SERVED)
-            took_ms = self.now_ms() - sent_ms  # longer if the loop was blocked
+            took_ms = self.now_ms() - sent_ms  # includes the time for which the event loop was blocked
             ended = AttemptEnded(action.request_id, attempt_number, outcome, took_ms, is_answer)
             self.handle_events(ended)
 
-        self.call_later(latency_ms, end)
+        self.call_later(latency_ms, end_attempt)
--- a/client_proxy/emulator/simulation.py
+++ b/client_proxy/emulator/simulation.py
@@ -1,4 +1,4 @@
-"""Runs a scenario: puts servers, discovery, proxies and clients on a clock and plays the faults."""
+"""Runs a scenario: sets up servers, discovery, proxies and clients on a clock and schedules the faults."""
 
 from __future__ import annotations
 
@@ -42,31 +42,33 @@
 UNIX_START_S = 1_700_000_000.0
 """Unix time at the virtual clock's zero."""
 LEAD_TIME_S = 0.5
-"""From when all proxies are ready to the scenario's start."""
+"""Time between the moment when all proxies are ready and the scenario's start."""
 READY_TIMEOUT_S = 30.0
 READY_POLL_S = 0.05
 SAMPLE_INTERVAL_S = 0.5
 TAIL_S = 1.0
-"""From the last answer to the end of the run."""
+"""Time between the last response and the end of the run."""
 MAX_RUN_S = 7 * 24 * 3600.0
 SERVER_ADDRESS = ("127.0.0.1", 0)
 
 ProgressCallback = Callable[[float, list[ClientRequest]], None]
-"""Called once a window with the elapsed seconds and the requests that ended since the last call."""
+"""Called once per window with the elapsed seconds and the requests that ended since the last call."""
 
 
 @dataclass
 class SimulationResult:
-    """A run of a scenario.
+    """The result of a run.
 
     Attributes:
         clock: `virtual` or `real`.
-        start_s: the scenario's start on the event log's clock, `end_s` the end of the run.
-        discovery_requests: number of requests to discovery.
-        specs: all servers, also those that replaced others.
-        marks: what happened on the time line, by time.
-        failures: of proxies: exceptions that nobody caught, and processes that ended by themselves.
-        callbacks_run: by the virtual clock.
+        proxies: the number of proxies.
+        start_s: the scenario's start on the event log's clock.
+        end_s: the end of the run on the same clock.
+        discovery_requests: the number of requests to discovery.
+        specs: all servers by name, including those that replaced others.
+        marks: time and description of what happened on the time line, in order of time.
+        failures: uncaught exceptions of proxies, and proxy processes that ended unexpectedly.
+        callbacks_run: the number of callbacks that the virtual clock ran.
     """
 
     scenario: Scenario
@@ -84,17 +86,17 @@
 
 
 class Simulation:
-    """Everything of one run but its proxies, its clock and its network, which are given to it.
+    """One run of a scenario; its proxies, clock and network are provided by the caller.
 
     Attributes:
-        new_listener: creates listeners on the network; it has to be set first.
+        new_listener: creates listeners on the network; it has to be set before `prepare`.
         proxies: the proxies by number; they have to be added before `prepare`.
-        unix_s: the Unix time.
-        accepts_foreign_requests: whether servers take requests that no emulated client sent.
+        unix_s: returns the Unix time in seconds.
+        accepts_foreign_requests: whether servers accept requests that no emulated client sent.
         operators: the operators' settings, for proxies in this process.
         operators_file: the operators' file, for proxies in processes of their own.
-        byzantine_reporters: by number, the gossip nodes of proxies that report falsely.
-        unreported_requests: those that ended since progress was last reported.
+        byzantine_reporters: the gossip node type of each proxy that reports falsely, by the proxy's number.
+        unreported_requests: requests that ended since progress was last reported.
     """
 
     def __init__(self, scenario: Scenario, loop: asyncio.AbstractEventLoop) -> None:
@@ -104,7 +106,7 @@
         self.classes: dict[str, RequestClassSpec] = {
             request_class.name: request_class for request_class in scenario.classes
         }
-        self.new_listener: Callable[[ProtocolFactory], Listener] = _no_network
+        self.new_listener: Callable[[ProtocolFactory], Listener] = _raise_no_network
         self.proxies: list[ProxyHandle] = []
         self.unix_s: Callable[[], float] = lambda: 0.0
         self.accepts_foreign_requests = False
@@ -125,7 +127,7 @@
 
     @property
     def costly_faults(self) -> list[ActiveFault]:
-        """The faults that make requests cost more at present."""
+        """The active faults that make requests cost more."""
         return self.fault_player.costly_faults
 
     @property
@@ -139,10 +141,10 @@
             server.prepare()
         self.registry.prepare()
 
-    # What servers, proxies and clients ask for
+    # Called by servers, proxies and clients
 
     def deduplication_group(self, request_class: RequestClassSpec, server: ServerSpec) -> DeduplicationGroup:
-        """Return the group of servers that deduplicate this class's requests with this server."""
+        """Return the group that deduplicates this class's requests at this server."""
         key_by_scope: dict[str, tuple[object, ...]] = {
             "all": (request_class.name,),
             "zone": (request_class.name, server.zone),
@@ -169,10 +171,10 @@
         }
 
     def foreign_attempt(self, attempt_id: str, url: bytes) -> ClientAttempt | None:
-        """Return an attempt for a request that no emulated client sent.
+        """Return an attempt for a request that no emulated client sent, or None if it is not accepted.
 
-        Servers that run by themselves take it as one of the usual work of its class; in a run of a scenario
-        such a request violates a rule.
+        Standalone servers accept such a request and give it the mean work of its class. In a run of a
+        scenario it violates a rule.
         """
         class_name = url.lstrip(b"/").partition(b"/")[0].decode("latin-1")
         request_class = self.classes.get(class_name)
@@ -181,11 +183,11 @@
         return ClientAttempt(attempt_id, 0, 0, request_class.name, "", request_class.work_ms)
 
     def request_ended(self, request: ClientRequest) -> None:
-        """Keep a request for the next report of progress."""
+        """Keep a request that ended for the next report of progress."""
         self.unreported_requests.append(request)
 
     def server_crashed(self, name: str) -> None:
-        """End the process of a server that was overloaded while cold; it stays down."""
+        """Kill a server that crashed under overload while cold; it stays down."""
         self.timeline.mark(f"{name} fell over")
         self.loop.call_soon(self.lifecycle.kill, self.servers[name])
 
@@ -196,7 +198,7 @@
     # The run
 
     async def run(self, progress: ProgressCallback | None) -> float:
-        """Run from the first start to the last answer; return the time on the loop's clock then.
+        """Run the scenario; return the time on the loop's clock after the last response.
 
         Raises:
             ProxiesNotReadyError: not all proxies became ready in time.
@@ -218,7 +220,7 @@
         await asyncio.sleep(max(0.0, remaining_s) + TAIL_S)
         await self.fault_player.wait_for_tasks()
         sampler.cancel()
-        # Awaited: a sampler that failed would else leave a report with half a time line, and no error.
+        # Without this await, a sampler that failed would leave an incomplete time line and no error.
         with suppress(asyncio.CancelledError):
             await sampler
         end_s = self.loop.time()
@@ -255,7 +257,7 @@
         self.registry.close()
 
     async def _sample(self, progress: ProgressCallback | None) -> None:
-        """Sample every server at fixed times, and report progress once a window."""
+        """Sample every server at a fixed interval, and report progress once per window."""
         samples, windows = 0, 0
         while True:
             next_s = self.start_s + samples * SAMPLE_INTERVAL_S
@@ -270,7 +272,7 @@
                 progress(elapsed_s, ended)
 
     def result(self, clock_name: str, end_s: float) -> SimulationResult:
-        """Check the rules and return the result of the run."""
+        """Check the run against the rules and return its result."""
         specs = {name: server.spec for name, server in self.servers.items()}
         placements = {name: Placement(spec.zone, spec.rack) for name, spec in specs.items()}
         return SimulationResult(
@@ -295,13 +297,13 @@
         await asyncio.sleep(READY_POLL_S)
 
 
-def _no_network(factory: ProtocolFactory) -> Listener:
-    raise RuntimeError("the simulation has no network yet: new_listener is not set")
+def _raise_no_network(factory: ProtocolFactory) -> Listener:
+    raise RuntimeError("the simulation has no network: set new_listener before prepare()")
 
 
 @contextmanager
 def _without_daemon_logs() -> Iterator[None]:
-    """Silence the daemons' logs, which are for operators."""
+    """Silence the daemons' logs during a run on the virtual clock."""
     logger = logging.getLogger("client_proxy.proxy")
     level = logger.level
     logger.setLevel(logging.CRITICAL)
@@ -317,13 +319,13 @@
     operators: Operators = NOTHING,
     byzantine_reporters: dict[int, type[GossipNode]] | None = None,
 ) -> SimulationResult:
-    """Run a scenario on a virtual clock: the same scenario always gives the same event log.
+    """Run a scenario on a virtual clock; the same scenario always gives the same event log.
 
     Args:
         scenario: the scenario.
-        progress: called once a window.
+        progress: called once per window.
         operators: the operators' settings of all proxies.
-        byzantine_reporters: by number, the gossip nodes of proxies that report falsely.
+        byzantine_reporters: the gossip node type of each proxy that reports falsely, by the proxy's number.
     """
     scheduler = Scheduler()
     loop = scheduler.new_loop("world")
@@ -362,9 +364,9 @@
 
     Args:
         scenario: the scenario.
-        progress: called once a window.
-        build: a checkout whose daemon is run; None: this one.
-        operators_file: the operators' settings of all proxies.
+        progress: called once per window.
+        build: the checkout whose daemon is run; None: this one.
+        operators_file: the file with the operators' settings of all proxies.
     """
     loop = asyncio.get_running_loop()
     simulation = Simulation(scenario, loop)
