--- a/tests/emulator/test_report.py
+++ b/tests/emulator/test_report.py
@@ -24,10 +24,12 @@
     return event_log_digest(event_log, start_s=100.0)
 
 
-@pytest.mark.parametrize("outcome", DIGESTS)
-def test_the_digest_of_an_attempt_is_fixed_for_each_outcome(outcome: AttemptOutcome | None) -> None:
-    attempt = ClientAttempt("p0-1", 0, 1, "lookup", "", 5.0, outcome=outcome, ended_s=100.25, status=200)
-    assert digest_of(EventLog(attempts={attempt.attempt_id: attempt})) == DIGESTS[outcome]
+@pytest.mark.parametrize("attempt_outcome", DIGESTS)
+def test_the_digest_of_an_attempt_is_fixed_for_each_outcome(attempt_outcome: AttemptOutcome | None) -> None:
+    attempt = ClientAttempt(
+        "p0-1", 0, 1, "lookup", "", 5.0, outcome=attempt_outcome, ended_s=100.25, status=200
+    )
+    assert digest_of(EventLog(attempts={attempt.attempt_id: attempt})) == DIGESTS[attempt_outcome]
 
 
 def test_every_attempt_outcome_has_a_fixed_digest() -> None:
--- a/tests/emulator/test_small_fleet_calm.py
+++ b/tests/emulator/test_small_fleet_calm.py
@@ -18,11 +18,11 @@
     scenario = load_scenario(DAY)
     clients = replace(scenario.clients, proxies=100, rate_per_s=40.0)
     # Each server accepts a third of the connections that the proxies open.
-    server_types = tuple(replace(server_type, max_connections=25) for server_type in scenario.server_types)
-    scenario = replace(scenario, duration_s=25.0, faults=(), clients=clients, server_types=server_types)
+    limited_types = tuple(replace(server_type, max_connections=25) for server_type in scenario.server_types)
+    scenario = replace(scenario, duration_s=25.0, faults=(), clients=clients, server_types=limited_types)
     with_admission = Operators(overload=OverloadSettings())
     admission_report, plain_report = (
-        build_report(simulate(scenario, operators=operators)) for operators in (with_admission, NOTHING)
+        build_report(simulate(scenario, operators=settings)) for settings in (with_admission, NOTHING)
     )
     assert not admission_report.broken
     assert admission_report.fates["turned away"] > 20
