--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -37,7 +37,7 @@
 from client_proxy.consensus.model_search import explore_exhaustively, walk_randomly
 from client_proxy.consensus.simulated_cluster import ClusterSettings, SimulatedCluster
 from client_proxy.fault_injection import history, invariants, scenario_runner
-from client_proxy.fault_injection.changes import make
+from client_proxy.fault_injection.changes import make_changes
 from client_proxy.fault_injection.fleet import Fleet
 from client_proxy.fault_injection.plan import AimTable, FaultTable, FleetTable, LoadTable, Plan, load
 from client_proxy.fault_injection.scenario_runner import Verdict
@@ -92,7 +92,7 @@
     records = list(history.read(folder / "history.jsonl"))
     begun = switches(folder, stated, offset_s)
     first_ms, last_ms, overlaps = [], [], []
-    faults = [r for r in invariants.of(records, "fault") if r["what"] == "propose"]
+    faults = [r for r in invariants.records_of_kind(records, "fault") if r["what"] == "propose"]
     arrived = invariants.arrivals(records)
     down = {n for f in stated.fault if f.kind == "kill" for n in f.who}
     for number, fault in enumerate(sorted(faults, key=lambda r: float(r["begin"])), 2):
@@ -104,7 +104,7 @@
         dropped = stated.fault[fault["n"]].drop[0]
         late = [a["first"] for a in arrived if a["server"] == dropped]
         overlaps.append(1000 * max(0.0, max(late, default=0.0) - up[0]))
-    ops = invariants.of(records, "op")
+    ops = invariants.records_of_kind(records, "op")
     row: dict[str, Any] = {
         "what": what, "instances": stated.fleet.instances, "down": len(down), "outcome": verdict.outcome,
         "why": verdict.why, "changes": len(faults), "decided": len(last_ms),
@@ -275,9 +275,9 @@
                         scenario_runner.run(stated, Path(folder) / f"{size}-{turn}-{seats}")
                     )
                     records = list(history.read(Path(verdict.folder) / "history.jsonl"))
-                    looks = [r for r in invariants.of(records, "look") if r["who"] == "i4"]
+                    looks = [r for r in invariants.records_of_kind(records, "look") if r["who"] == "i4"]
                     begun, ended = looks[0], looks[-1]
-                    ops = [o for o in invariants.of(records, "op") if o["instance"] == "i4"]
+                    ops = [o for o in invariants.records_of_kind(records, "op") if o["instance"] == "i4"]
                     cpu_s = ended["cpu_s"] - begun["cpu_s"]
                     row = {
                         "what": "agreed" if seats else "file", "instances": size, "turn": turn,
@@ -308,7 +308,7 @@
     try:
         await fleet.start()
         await ready(fleet, ("i0", "i3", "i4"), True)
-        changed = await make(
+        changed = await make_changes(
             fleet, 0, FaultTable(kind="propose", who=("i0",), anew=True, drop=("r0-2",)), "i0"
         )
         row["change"] = changed["what"]
@@ -322,22 +322,22 @@
         words = ["policy", "rescue", "--config", str(fleet.home("i0") / "serve.toml"), "--out", str(out)]
         row["without_yes"] = CliRunner().invoke(command, words).exit_code
         row["with_yes"] = CliRunner().invoke(command, [*words, "--yes"]).exit_code
-        fleet.generation, fleet.seated, fleet.first = 2, {"i0"}, out.read_bytes()
+        fleet.generation, fleet.voters, fleet.first_policy = 2, {"i0"}, out.read_bytes()
         for name in ("i0", "i3", "i4"):
             fleet.write_list(name)
-        fleet.take_seats()
+        fleet.initialize_seats()
         begin_s = time.monotonic()
         for name in ("i0", "i3", "i4"):
-            await fleet.begin_instance(name)
-            await fleet.await_instance(name)
+            await fleet.start_instance(name)
+            await fleet.wait_for_instance(name)
         row["serve_after_s"] = round(await ready(fleet, ("i0", "i3", "i4"), True) - begin_s, 2)
         # One of the lost comes back with its old folder and file: it is alone, and refuses.
         config = fleet.home("i1") / "serve.toml"
         old = config.read_text()
-        fleet.generation, fleet.seated, fleet.first = 1, {"i0", "i1", "i2"}, None
-        await fleet.begin_instance("i1")
+        fleet.generation, fleet.voters, fleet.first_policy = 1, {"i0", "i1", "i2"}, None
+        await fleet.start_instance("i1")
         assert config.read_text() == old
-        await fleet.await_instance("i1")
+        await fleet.wait_for_instance("i1")
         await asyncio.sleep(3.0)
         row["old_one_ready"] = await _status(fleet, "i1") == 200
         status = await asyncio.to_thread(ask, fleet.home("i0") / "control.sock", {"do": "status"})
--- a/benchmarks/drills.py
+++ b/benchmarks/drills.py
@@ -108,7 +108,7 @@
         to = () if kind == "stop" else rack
         each.append(FaultTable(kind=kind, who=who, to=to, at_s=at_s, for_s=0.8))  # type: ignore[arg-type]
     row = played(plan(3, 1, f"{args.rounds} rounds", tuple(each), 4.0 + 1.5 * args.rounds), folder / "rounds")
-    looks = invariants.of(list(history.read(folder / "rounds" / "history.jsonl")), "look")
+    looks = invariants.records_of_kind(list(history.read(folder / "rounds" / "history.jsonl")), "look")
     row["looks"] = [{k: look[k] for k in ("who", "fds", "rss_kb", "rested")} for look in looks]
     print(json.dumps(row["looks"]))
     return [row]
--- a/benchmarks/learned.py
+++ b/benchmarks/learned.py
@@ -33,9 +33,9 @@
     )  # fmt: skip
     verdict = asyncio.run(scenario_runner.run(plan, folder))
     records = list(history.read(folder / "history.jsonl"))
-    states = [r for r in invariants.of(records, "state") if r["who"] == "i1"]
+    states = [r for r in invariants.records_of_kind(records, "state") if r["who"] == "i1"]
     back_s = max(r["t"] for r in states if r["state"] == "listening")
-    mine = [o for o in invariants.of(records, "op") if o["instance"] == "i1"]
+    mine = [o for o in invariants.records_of_kind(records, "op") if o["instance"] == "i1"]
     ops = [o for o in mine if back_s <= o["begin"] < back_s + SPAN_S]
     took = [1000 * (o["end"] - o["begin"]) for o in ops if o["ending"] == "served"]
     row = {
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -101,7 +101,7 @@
         await made._begin_load()
         await made._until_ready()
         new, plan = folder / "new.toml", folder / "plan.toml"
-        text = fleet._agreed(fleet.versions[1]).decode()
+        text = fleet._policy_file(fleet.versions[1]).decode()
         new.write_text(worse(kind.partition(", ")[0], text))
         plan.write_text(PLAN)
         killed, troubles = 0, 0
@@ -147,7 +147,7 @@
         await asyncio.sleep(1.0)
         await fleet.clients.ask("end")
         records = history.merged(sorted(folder.glob("*.jsonl")))
-        ops = [o for o in invariants.of(records, "op") if o["begin"] >= begin_s]
+        ops = [o for o in invariants.records_of_kind(records, "op") if o["begin"] >= begin_s]
         things = {o["logical"] for o in ops}
         served = {o["logical"] for o in ops if o["ending"] == "served"}
         good = {o["logical"] for o in ops if o["ending"] == "served" and o["end"] - o["begin"] <= 0.9}
@@ -155,7 +155,7 @@
             "asked": len(things), "unserved": len(things) - len(served), "late": len(served) - len(good),
             "troubles": troubles, "tries": dict(Counter(o["ending"] for o in ops)), "killed": killed,
         }  # fmt: skip
-        rules = [*invariants.effects(stated, records), *invariants.processes(stated, records)]
+        rules = [*invariants.check_effects(stated, records), *invariants.check_processes(stated, records)]
         row["breaches"] = sorted({b.rule for b in rules if b.rule != "crash" or not killed})
     finally:
         await fleet.end()
--- a/benchmarks/scale/control_machine.py
+++ b/benchmarks/scale/control_machine.py
@@ -132,7 +132,7 @@
         async with children() as started:
             child = await serve("control", folder, config.read_text())
             started.append(child)
-            await child.listening(port)
+            await child.wait_until_listening(port)
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
             sock.connect((HOST, port))
--- a/benchmarks/scale/data_path.py
+++ b/benchmarks/scale/data_path.py
@@ -39,7 +39,7 @@
 import uvloop
 
 from client_proxy.checkout import package_name
-from client_proxy.fault_injection.child_process import LISTEN, resident_kb, sockets, waited_s
+from client_proxy.fault_injection.child_process import LISTEN, resident_kb, tcp_sockets, waited_s
 
 ROOT = Path(__file__).resolve().parents[2]
 HOST = "127.0.0.1"
@@ -250,7 +250,7 @@
     def _wait_for_port(self) -> int:
         until_s = time.monotonic() + START_WITHIN_S
         while time.monotonic() < until_s and self._process.poll() is None:
-            listening = sockets(self.pid, LISTEN)
+            listening = tcp_sockets(self.pid, LISTEN)
             if listening:
                 return listening[0][1]
             time.sleep(0.02)
@@ -260,7 +260,7 @@
     def connections_to(self, ports: Sequence[int]) -> int:
         """Returns the number of established connections of the daemon to these ports."""
         known_ports = set(ports)
-        return sum(remote in known_ports for _, _, _, remote in sockets(self.pid, ESTABLISHED))
+        return sum(remote in known_ports for _, _, _, remote in tcp_sockets(self.pid, ESTABLISHED))
 
     def end(self) -> None:
         if self._process.poll() is None:
--- a/benchmarks/scale/depth.py
+++ b/benchmarks/scale/depth.py
@@ -22,7 +22,7 @@
 from benchmarks.scale.data_path import quantiles
 from benchmarks.scale.processes import children, serve, serve_text, servers_text
 from client_proxy.fault_injection.child_process import Child
-from client_proxy.fault_injection.fleet import address_part
+from client_proxy.fault_injection.fleet import loopback_prefix
 
 LEVELS = (1, 3, 8, 16, 26)
 SERVERS = 3
@@ -48,11 +48,11 @@
 
 
 def _proxy(level: int) -> str:
-    return f"{address_part()}.1:{PROXY_PORT + level}"
+    return f"{loopback_prefix()}.1:{PROXY_PORT + level}"
 
 
 def _services(level: int) -> list[str]:
-    return [f"{address_part()}.{10 + n}:{SERVICE_PORT + level}" for n in range(SERVERS)]
+    return [f"{loopback_prefix()}.{10 + n}:{SERVICE_PORT + level}" for n in range(SERVERS)]
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
     await service.start("benchmarks.scale.chain_service", *arguments)
     if chain.proxies:
         await _start_proxy(level, folder, started)
-    await service.listening(SERVICE_PORT + level)
+    await service.wait_until_listening(SERVICE_PORT + level)
 
 
 async def _start_proxy(level: int, folder: Path, started: list[Child]) -> None:
@@ -91,7 +91,7 @@
     servers_table = f'[servers]\nfile = "servers-{level}.toml"\nsettle_ms = 0'
     proxy = await serve(f"proxy-{level}", folder, serve_text("p", _proxy(level), DEADLINE_MS, servers_table))
     started.append(proxy)
-    await proxy.listening(PROXY_PORT + level)
+    await proxy.wait_until_listening(PROXY_PORT + level)
 
 
 async def _call(client: HttpClient, trace: str, due_s: float) -> Answer:
--- a/benchmarks/scale/services.py
+++ b/benchmarks/scale/services.py
@@ -45,7 +45,7 @@
                     started.append(child)
                     batch.append((child, port))
                 for child, port in batch:
-                    await child.listening(port)
+                    await child.wait_until_listening(port)
             await asyncio.sleep(SETTLE_S)
             before_s = sum(cpu_s(child.pid) for child in started)
             await asyncio.sleep(idle_s)
--- a/client_proxy/fault_injection/changes.py
+++ b/client_proxy/fault_injection/changes.py
@@ -47,7 +47,7 @@
     return {"what": "unknown", "why": f"not ended after {ENDS_S:g} s"}
 
 
-async def make(fleet: Fleet, number: int, stated: FaultTable, name: str) -> Seen:
+async def make_changes(fleet: Fleet, number: int, stated: FaultTable, name: str) -> Seen:
     """All changes of one fault, one after the other. Returns what became of the last, and how many of
     each."""
     counts: dict[str, int] = {}
--- a/client_proxy/fault_injection/child_process.py
+++ b/client_proxy/fault_injection/child_process.py
@@ -31,7 +31,7 @@
     """The drill itself could not do what the plan says: no verdict on the program."""
 
 
-def states(pid: int) -> str:
+def process_state(pid: int) -> str:
     """The letter of its state (proc(5)); "" if it is gone."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
@@ -40,7 +40,7 @@
     return text.rpartition(")")[2].split()[0]
 
 
-def sockets(pid: int, state: str) -> list[tuple[str, int, str, int]]:
+def tcp_sockets(pid: int, state: str) -> list[tuple[str, int, str, int]]:
     """Its TCP sockets over IPv4 in that state: local address and port, remote address and port."""
     inodes = set()
     try:
@@ -96,7 +96,7 @@
     return 0.0
 
 
-def used_s(pid: int) -> float:
+def cpu_time_s(pid: int) -> float:
     """Seconds of a core that all of its threads have used."""
     with suppress(OSError):
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -122,20 +122,20 @@
         cwd: Path | None = None,
         env: dict[str, str] | None = None,
         piped: bool = False,
-        faulty: Path | None = None,
-        bent: bool = False,
+        fault_folder: Path | None = None,
+        adjustable_clock: bool = False,
     ) -> None:
         """`path`: the checkout whose code it runs. `faulty`: the folder that its faulty file layer is for;
         with it, orders can be given through `order`. `bent`: with a clock that orders can bend."""
         self.life += 1
         own = ["--parent", str(os.getpid()), "--path", str(path or ROOT)]
         theirs: socket.socket | None = None
-        if faulty is not None:
+        if fault_folder is not None:
             self._drop_orders()
             self._orders, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
             self._orders.setblocking(False)
-            own += ["--orders", str(theirs.fileno()), "--folder", str(faulty)]
-            own += ["--clock", "bent"] if bent else []
+            own += ["--orders", str(theirs.fileno()), "--folder", str(fault_folder)]
+            own += ["--clock", "bent"] if adjustable_clock else []
         pipe = asyncio.subprocess.PIPE if piped else asyncio.subprocess.DEVNULL
         kept = {k: v for k, v in os.environ.items() if not k.startswith(("LB_", "PYTHONPATH"))}
         with self.log.open("ab") as out:
@@ -162,17 +162,17 @@
             raise RigError(f"{self.name}: gone before it could get signal {number}")
         self.process.send_signal(number)
 
-    async def until(self, state: str, within_s: float = 5.0) -> bool:
+    async def wait_for_state(self, state: str, within_s: float = 5.0) -> bool:
         """Is it in that state of proc(5) (T: stopped) in time? `!T`: in any other."""
         wanted, unlike = state.lstrip("!"), state.startswith("!")
         end_s = time.monotonic() + within_s
         while time.monotonic() < end_s:
-            if (states(self.pid) == wanted) != unlike:
+            if (process_state(self.pid) == wanted) != unlike:
                 return True
             await asyncio.sleep(LOOK_S)
         return False
 
-    async def ended(self, within_s: float) -> int | None:
+    async def wait_for_exit(self, within_s: float) -> int | None:
         """Its exit code; None if it still runs."""
         if self.process is None:
             return 0
@@ -188,12 +188,12 @@
             await self.process.wait()
         self._drop_orders()
 
-    async def listening(self, port: int, within_s: float = 30.0) -> tuple[str, int]:
+    async def wait_until_listening(self, port: int, within_s: float = 30.0) -> tuple[str, int]:
         """Its address with that port, once the system says that it listens there. Raises RigError if it ends,
         or does not listen in time."""
         end_s = time.monotonic() + within_s
         while time.monotonic() < end_s:
-            for host, known, _, _ in sockets(self.pid, LISTEN):
+            for host, known, _, _ in tcp_sockets(self.pid, LISTEN):
                 if known == port:
                     return host, known
             if not self.up:
@@ -265,7 +265,7 @@
         """By the end of its standard input; by SIGKILL if that is not enough."""
         if self.process is not None and self.process.stdin is not None:
             self.process.stdin.close()
-            if await self.ended(3.0) is None:
+            if await self.wait_for_exit(3.0) is None:
                 await self.kill()
 
 
--- a/client_proxy/fault_injection/command.py
+++ b/client_proxy/fault_injection/command.py
@@ -159,7 +159,7 @@
                     progress.console.print(f"{drawn.name}: {verdict.outcome}: {verdict.why}")
                 if verdict.outcome == "failed" and shrink:
                     small = await explore.shrink(drawn, verdict.rules()[0], rules)
-                    text = plan.worded(small.plan)
+                    text = plan.format_plan(small.plan)
                     (out / f"{drawn.name}-{small.rule}.toml").write_text(text)
                 progress.advance(task)
 
--- a/client_proxy/fault_injection/faults.py
+++ b/client_proxy/fault_injection/faults.py
@@ -12,15 +12,15 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from client_proxy.fault_injection.changes import make
+from client_proxy.fault_injection.changes import make_changes
 from client_proxy.fault_injection.child_process import (
     SYN_SENT,
     Child,
     Helper,
     RigError,
-    sockets,
-    states,
+    process_state,
     stop_signal,
+    tcp_sockets,
     waited_s,
 )
 from client_proxy.fault_injection.fleet import Fleet
@@ -109,12 +109,12 @@
         self.fleet.say_state(name, {"kill": "killed", "term": "ending", "stop": "stopping"}[kind])
         child.signal(stop_signal(kind))
         if kind == "stop":
-            if not await child.until("T"):
+            if not await child.wait_for_state("T"):
                 raise self._unseen(name, "not stopped")
             self._note(name, state="T")
             self.fleet.say_state(name, "stopped")
             return
-        code = await child.ended(DIES_S + self.fleet.plan.load.deadline_ms / 1000.0)
+        code = await child.wait_for_exit(DIES_S + self.fleet.plan.load.deadline_ms / 1000.0)
         if code is None:
             self.fleet.say_state(name, "hangs")
             await child.kill()
@@ -127,11 +127,11 @@
 
     async def _go_on(self, name: str) -> None:
         child = self.fleet.named(name)
-        if not await child.until("T", 0.0) and not child.up:
+        if not await child.wait_for_state("T", 0.0) and not child.up:
             raise self._unseen(name, "it ended while it was stopped")
         self.fleet.say_state(name, "going")
         child.signal(signal.SIGCONT)
-        if not await child.until("!T"):
+        if not await child.wait_for_state("!T"):
             raise self._unseen(name, "it did not go on")
 
     async def _come_back(self, name: str) -> None:
@@ -143,17 +143,17 @@
         if self.stated.anew:
             self._note(name, memory=fleet.new_memory(name))
         if name in fleet.racks:
-            await fleet.begin_rack(name, cold=True)
+            await fleet.start_rack(name, cold=True)
         elif name == "d":
-            await fleet.begin_discovery()
+            await fleet.start_discovery()
         else:
-            await fleet.begin_instance(name)
-            await fleet.await_instance(name)
+            await fleet.start_instance(name)
+            await fleet.wait_for_instance(name)
         fleet.ended_by_plan.discard(name)
 
     async def _late_death(self, name: str) -> None:
         child = self.fleet.named(name)
-        code = await child.ended(0.0)
+        code = await child.wait_for_exit(0.0)
         if code != -9:
             self.fleet.ended_by_plan.discard(name)
             raise self._unseen(name, "it came to no such step meanwhile")
@@ -162,8 +162,8 @@
 
     async def _bad_start(self, name: str) -> None:
         await self._kill_quietly(name)
-        await self.fleet.begin_instance(name, broken=True)
-        code = await self.fleet.instances[name].ended(DIES_S)
+        await self.fleet.start_instance(name, broken=True)
+        code = await self.fleet.instances[name].wait_for_exit(DIES_S)
         if not code:
             raise self._unseen(name, f"with a broken file it ended with {code}")
         self._note(name, code=code, said=self.fleet.instances[name].last_line())
@@ -182,7 +182,7 @@
         self.fleet.say_state(name, "killed")
         child = self.fleet.instances[name]
         child.signal(signal.SIGKILL)
-        if await child.ended(DIES_S) != -9:
+        if await child.wait_for_exit(DIES_S) != -9:
             raise self._unseen(name, "it had ended by itself")
 
     # Wires
@@ -215,7 +215,7 @@
         pids += [self.fleet.clients.pid] if "c" in diallers else []
         while True:
             for pid in pids:
-                self._dials += sum(1 for each in sockets(pid, SYN_SENT) if each[2:] in addresses)
+                self._dials += sum(1 for each in tcp_sockets(pid, SYN_SENT) if each[2:] in addresses)
             await asyncio.sleep(SAMPLE_S)
 
     async def _whole_wires(self, kind: str) -> None:
@@ -303,7 +303,7 @@
         self._note(name, reached=reached)
 
     async def _change(self, name: str) -> None:
-        self._note(name, **await make(self.fleet, self.number, self.stated, name))
+        self._note(name, **await make_changes(self.fleet, self.number, self.stated, name))
 
     async def _rotate(self, name: str) -> None:
         """As operators do: the file is replaced, and who is up is told to read it again. Who is stopped hears
@@ -315,7 +315,7 @@
             self._note(name, read="at its next start")
             return
         child.signal(signal.SIGHUP)
-        if states(child.pid) == "T":
+        if process_state(child.pid) == "T":
             self._note(name, read="when it goes on")
             return
         wanted = f"keys read again: group keys {', '.join(map(str, groups))}".encode()
--- a/client_proxy/fault_injection/fleet.py
+++ b/client_proxy/fault_injection/fleet.py
@@ -42,13 +42,13 @@
 _places: set[int] = set()  # of the drills that are on in this process
 
 
-def address_part(place: int = 0) -> str:
+def loopback_prefix(place: int = 0) -> str:
     """Three of the four numbers of the loopback addresses that are this drill's, or this process's."""
     pid = os.getpid()
     return f"127.{64 + pid % 64}.{(pid // 64 + 37 * place) % 256}"
 
 
-def rack_day(plan: Plan, racks: tuple[str, ...], halls: bool) -> Scenario:
+def rack_scenario(plan: Plan, racks: tuple[str, ...], halls: bool) -> Scenario:
     """The emulator's day of these racks. `halls`: named by the plan's halls; else by rack, so that a rack's
     process finds nobody far away."""
     classes = (
@@ -77,7 +77,7 @@
         # Danger: ports of gossip and agreement are the same everywhere: two drills would have them both.
         self._place = next(n for n in range(256) if n not in _places)
         _places.add(self._place)
-        self.part = address_part(self._place)
+        self.part = loopback_prefix(self._place)
         self.history = Writer(folder / "drill.jsonl")
         self.wires = Helper("wires", folder)
         self.clients = Helper("clients", folder)
@@ -96,8 +96,8 @@
         self.versions: dict[int, dict[str, Any]] = {1: first}  # agreed ones
         self.newest = 1
         self.generation = 1  # of the agreement: begun anew by hand
-        self.seated = set(list(self.instances)[: plan.fleet.seats])  # from the first version of it on
-        self.first: bytes | None = None  # its first version, if it is not the plan's
+        self.voters = set(list(self.instances)[: plan.fleet.seats])  # from the first version of it on
+        self.first_policy: bytes | None = None  # its first version, if it is not the plan's
         self.memories: dict[str, int] = {}  # of seats, made anew
         self.ended_by_plan: set[str] = set()  # instances that are down as the plan says
         self._lives: dict[str, int] = {}
@@ -131,9 +131,9 @@
 
     async def start(self) -> None:
         await self.wires.begin("client_proxy.fault_injection.fault_proxy")
-        await asyncio.gather(*(self.begin_rack(rack, cold=False) for rack in self.racks))
+        await asyncio.gather(*(self.start_rack(rack, cold=False) for rack in self.racks))
         if self.plan.fleet.line == "run":
-            await self.begin_discovery()
+            await self.start_discovery()
         if self.plan.fleet.gossip or self.plan.fleet.seats:
             for name in self.instances:
                 self.write_keys(name, (1,))
@@ -141,11 +141,11 @@
             self.home(name).mkdir(exist_ok=True)
             if self.plan.fleet.line == "serve":
                 self.write_list(name)
-        self.take_seats()
+        self.initialize_seats()
         for name in self.instances:
-            await self.begin_instance(name)
+            await self.start_instance(name)
         for name in self.instances:
-            await self.await_instance(name)
+            await self.wait_for_instance(name)
 
     async def _link(self, id_: str, to: Any, host: int = 251) -> None:
         if id_ in self.links:
@@ -154,13 +154,13 @@
             answer = await self.wires.ask("link", id=id_, host=self.host(host), to=to)
             self.links[id_] = tuple(answer["address"])
 
-    async def begin_rack(self, rack: str, cold: bool) -> None:
+    async def start_rack(self, rack: str, cold: bool) -> None:
         helper = self.racks[rack]
         await helper.begin("client_proxy.fault_injection.servers")
         self._lives[rack] = self._lives.get(rack, 0) + 1
         answer = await helper.ask(
             "begin",
-            day=format_scenario(rack_day(self.plan, (rack,), halls=False)),
+            day=format_scenario(rack_scenario(self.plan, (rack,), halls=False)),
             host=self.host(252),
             history=str(self.folder / f"{rack}-{self._lives[rack]}.jsonl"),
             cold=cold,
@@ -174,7 +174,7 @@
                     await self._link(f"{name}>{server}", door)
         self.say_state(rack, "ready")
 
-    async def begin_discovery(self) -> None:
+    async def start_discovery(self) -> None:
         await self.discovery.begin("client_proxy.fault_injection.discovery")
         self._lives["d"] = self._lives.get("d", 0) + 1
         doors = {
@@ -183,7 +183,7 @@
         }
         answer = await self.discovery.ask(
             "begin",
-            day=format_scenario(rack_day(self.plan, self.plan.racks(), halls=True)),
+            day=format_scenario(rack_scenario(self.plan, self.plan.racks(), halls=True)),
             host=self.host(253),
             doors=doors,
             history=str(self.folder / f"d-{self._lives['d']}.jsonl"),
@@ -192,7 +192,7 @@
             await self._link(f"{name}>d", door)
         self.say_state("d", "ready")
 
-    async def begin_instance(self, name: str, broken: bool = False) -> None:
+    async def start_instance(self, name: str, broken: bool = False) -> None:
         """Started, and not waited for. `broken`: with a file that it can't use."""
         child, home = self.instances[name], self.home(name)
         home.mkdir(exist_ok=True)
@@ -210,12 +210,12 @@
             config.write_text("name =\n" if broken else self._serve(name))
             module, words = f"{package}.cli", ["serve", "--config", str(config)]
         bent = name in self._bent
-        await child.start(module, *words, path=path, env=env, faulty=home, bent=bent)
+        await child.start(module, *words, path=path, env=env, fault_folder=home, adjustable_clock=bent)
         self.say_state(name, "started")
 
-    async def await_instance(self, name: str) -> None:
+    async def wait_for_instance(self, name: str) -> None:
         """It listens; its clients find it."""
-        address = await self.instances[name].listening(self.ports[name])
+        address = await self.instances[name].wait_until_listening(self.ports[name])
         if name in self._relayed:
             await self._link(f"c>{name}", list(address))
         else:
@@ -229,8 +229,8 @@
 
     def write_list(self, name: str, spoilt: bool = False) -> None:
         """The instance's own copy of the list, without what was dropped for it; replaced in one step."""
-        content = self._agreed(self.versions[1]) if self.plan.fleet.seats else self._listed(name)
-        content = self.first or content
+        content = self._policy_file(self.versions[1]) if self.plan.fleet.seats else self._listed(name)
+        content = self.first_policy or content
         if spoilt:
             content = content[: len(content) // 2]
         draft = self.home(name) / "servers.new"
@@ -246,14 +246,14 @@
                 lines += [f'hall = "{self.plan.hall(rack)}"', f"rack = {int(rack[1:])}", "warm = true", ""]
         return seal("\n".join(lines).encode(), self.version)
 
-    def take_seats(self) -> None:
+    def initialize_seats(self) -> None:
         """What an operator says once to each instance that votes."""
         if not self.plan.fleet.seats:
             return
         from client_proxy.cli.instance_file import load_instance_file
         from client_proxy.consensus.bootstrap import initialize_acceptor
 
-        for name in sorted(self.seated):
+        for name in sorted(self.voters):
             config = self.home(name) / "serve.toml"
             config.write_text(self._serve(name))
             table = load_instance_file(config).file.agreement
@@ -285,7 +285,7 @@
                 f"member = {seat + 1}",
                 f'address = "{self.host(1 + seat)}:{AGREEMENT_PORT}"',
                 f'public = "{base64.b64encode(public).decode()}"',
-                f"votes = {str(f'i{seat}' in self.seated).lower()}",
+                f"votes = {str(f'i{seat}' in self.voters).lower()}",
             ]
         return "\n".join(lines)
 
@@ -302,10 +302,10 @@
             "features": stated.features or before["features"],
         }
         path = self.folder / f"{change}.toml"
-        path.write_bytes(self._agreed(said))
+        path.write_bytes(self._policy_file(said))
         return path, said
 
-    def _agreed(self, said: dict[str, Any]) -> bytes:
+    def _policy_file(self, said: dict[str, Any]) -> bytes:
         """The file that the fleet agrees on."""
         name = next(iter(self.instances))
         out = set(self.plan.servers()) - set(said["servers"])
@@ -328,7 +328,7 @@
 
         store = Store(Folder(self.home(name) / "kept"))
         seats = tuple(AcceptorId(n + 1, 1) for n in range(self.plan.fleet.seats))
-        digest = store.save_body(self._agreed(self.versions[1]))
+        digest = store.save_body(self._policy_file(self.versions[1]))
         store.save_decided(Decided(Version(FUTURE, digest, seats), Ballot(9, 1, 9), ()))
         return FUTURE
 
@@ -417,7 +417,7 @@
         os.replace(draft, self.home(name) / f"{name}.keys")
 
     def _platform(self, name: str) -> dict[str, Any]:
-        day = rack_day(self.plan, self.plan.racks(), halls=True)
+        day = rack_scenario(self.plan, self.plan.racks(), halls=True)
         host, port = self.links[f"{name}>d"]
         return {
             "name": name,
--- a/client_proxy/fault_injection/helper.py
+++ b/client_proxy/fault_injection/helper.py
@@ -34,7 +34,7 @@
             self.sum_s += max(0.0, late_s)
             self.ticks += 1
 
-    def told(self) -> Json:
+    def summary(self) -> Json:
         return {"worst_s": round(self.worst_s, 4), "mean_s": round(self.sum_s / max(1, self.ticks), 5)}
 
 
@@ -52,7 +52,7 @@
             order = json.loads(line)
             try:
                 if order["do"] == "late":
-                    answer: Json | None = lateness.told()
+                    answer: Json | None = lateness.summary()
                 else:
                     answer = await orders[order["do"]](order)
                 said = {"n": order["n"], "ok": True, **(answer or {})}
--- a/client_proxy/fault_injection/invariants.py
+++ b/client_proxy/fault_injection/invariants.py
@@ -45,7 +45,7 @@
         return begin_s <= self.end_s and end_s >= self.begin_s
 
 
-def of(records: Iterable[Record], kind: str) -> list[Record]:
+def records_of_kind(records: Iterable[Record], kind: str) -> list[Record]:
     return [record for record in records if record["kind"] == kind]
 
 
@@ -57,7 +57,7 @@
     down: dict[str, tuple[float, str]] = {}
     opens = {"killed": "down", "ended": "down", "stopping": "stopped"}
     closes = ("listening", "going", "ready")
-    for record in of(records, "state"):
+    for record in records_of_kind(records, "state"):
         who, state = record["who"], record["state"]
         if state in opens and who not in down:
             down[who] = record["t"], opens[state]
@@ -66,7 +66,7 @@
             found[who].append(Span(begin_s, record["t"], why))
     for who, (begin_s, why) in down.items():
         found[who].append(Span(begin_s, float("inf"), why))
-    for record in of(records, "fault"):
+    for record in records_of_kind(records, "fault"):
         if record["what"] in ("silent", "reset", "delay", "trickle"):
             ends = (*record["who"], *record["to"])
             if "c" in ends:
@@ -82,9 +82,9 @@
     """One final answer: whole, in time, by whom it was asked of, and nothing behind it."""
     excused = troubles(records)
     # What our own timers were late by, an instance on the same cores may be late by as well.
-    slack_s = SLACK_S + max((2 * r["worst_s"] for r in of(records, "late")), default=0.0)
-    ending = {r["who"]: r["t"] for r in of(records, "state") if r["state"] == "ending"}
-    ops = {op["id"]: op for op in of(records, "op")}
+    slack_s = SLACK_S + max((2 * r["worst_s"] for r in records_of_kind(records, "late")), default=0.0)
+    ending = {r["who"]: r["t"] for r in records_of_kind(records, "state") if r["state"] == "ending"}
+    ops = {op["id"]: op for op in records_of_kind(records, "op")}
     found: list[Breach] = []
     for op in ops.values():
         who, begin_s, end_s = op["instance"], op["begin"], op["end"]
@@ -102,7 +102,7 @@
         if op["status"] and end_s - begin_s > op["left_s"] + slack_s:
             late_ms = 1000.0 * (end_s - begin_s - op["left_s"])
             found.append(Breach("late", end_s, who, f"{op['id']}: answered {late_ms:.0f} ms past its time"))
-    for record in of(records, "again"):
+    for record in records_of_kind(records, "again"):
         op = ops.get(record["id"], {"instance": ""})
         found.append(Breach("again", record["t"], op["instance"], f"{record['id']}: more than one answer"))
     return found
@@ -110,12 +110,12 @@
 
 def arrivals(records: Sequence[Record]) -> list[Record]:
     """What reached servers, each with its fate; one whose server was killed has none, and may have run."""
-    fates = {(r["server"], r["life"], r["n"]): r for r in of(records, "fate")}
+    fates = {(r["server"], r["life"], r["n"]): r for r in records_of_kind(records, "fate")}
     # By whom it was sent: whose client asked for it. The door at which it came says the same, where each
     # instance has its own.
-    asked_of = {op["id"]: op["instance"] for op in of(records, "op")}
+    asked_of = {op["id"]: op["instance"] for op in records_of_kind(records, "op")}
     joined = []
-    for record in of(records, "arrival"):
+    for record in records_of_kind(records, "arrival"):
         fate = fates.get((record["server"], record["life"], record["n"]), {})
         who = asked_of.get(record["id"], record["instance"])
         more = {"instance": who, "fate": fate.get("fate", "unknown"), "ended": fate.get("ended")}
@@ -123,7 +123,7 @@
     return sorted(joined, key=lambda record: float(record["t"]))
 
 
-def effects(plan: Plan, records: Sequence[Record]) -> list[Breach]:
+def check_effects(plan: Plan, records: Sequence[Record]) -> list[Breach]:
     """No effect twice, over the whole fleet: an unsafe request that may have run is nowhere sent again, a
     keyed one only to its rack, and neither is refused. Clients' own repeats of a thing count as one thing."""
     rack = plan.servers()
@@ -156,7 +156,7 @@
             over = "+".join(sorted({a["instance"] for a in ran}))
             what = f"{thing}: took effect {len(ran)} times, over the instances {over}"
             found.append(Breach("twice", ran[1]["t"], over, what))
-    for op in of(records, "op"):
+    for op in records_of_kind(records, "op"):
         may = [a for a in by_id.get(op["id"], ()) if a["fate"] not in NEVER_RAN and a["t"] <= op["end"]]
         if op["ending"] == "refused" and may:
             what = f"{op['id']}: refused, and it may have run at {may[0]['server']}"
@@ -171,7 +171,7 @@
     for arrival in arrivals(records):
         arrived[arrival["instance"], arrival["server"]].append(arrival)
     found: list[Breach] = []
-    for change in of(records, "list"):
+    for change in records_of_kind(records, "list"):
         end_s = change["t"] + plan.aim.stale_s
         for server in change["drop"]:
             late = [a for a in arrived[change["instance"], server] if a["first"] > end_s]
@@ -187,7 +187,7 @@
     grace_s = 1.0 + SLACK_S
     closed: dict[tuple[str, str], float] = {}
     found: list[Breach] = []
-    moments = [*of(records, "told"), *of(records, "arrival")]
+    moments = [*records_of_kind(records, "told"), *records_of_kind(records, "arrival")]
     for record in sorted(moments, key=lambda r: float(r.get("first", r["t"]))):
         place = record["instance"], record["server"]
         if record["kind"] == "told":
@@ -204,21 +204,21 @@
 def pushed(plan: Plan, records: Sequence[Record]) -> list[Breach]:
     """No cold server is pushed over."""
     what = "fell, cold, under more than it bore"
-    return [Breach("push", fall["t"], fall["server"], what) for fall in of(records, "fall")]
+    return [Breach("push", fall["t"], fall["server"], what) for fall in records_of_kind(records, "fall")]
 
 
 def honest(plan: Plan, records: Sequence[Record]) -> list[Breach]:
     """Who says that it is not ready serves nobody meanwhile."""
     spans: dict[str, list[Span]] = defaultdict(list)
     last: dict[str, Record] = {}
-    for probe in of(records, "probe"):
+    for probe in records_of_kind(records, "probe"):
         before = last.get(probe["instance"])
         if before is not None and before["status"] == probe["status"] == 503:
             # From the end of one such answer to the beginning of the next question, it surely was not.
             spans[probe["instance"]].append(Span(before["t"], probe["begin"], "not ready"))
         last[probe["instance"]] = probe
     found: list[Breach] = []
-    for op in of(records, "op"):
+    for op in records_of_kind(records, "op"):
         for span in spans.get(op["instance"], ()):
             if op["ending"] == "served" and span.begin_s <= op["begin"] and op["end"] <= span.end_s:
                 what = f"{op['id']}: served while it said that it was not ready"
@@ -230,7 +230,7 @@
     """By window of a second: its begin, things asked for, and served."""
     first: dict[str, float] = {}
     served: set[str] = set()
-    for op in of(records, "op"):
+    for op in records_of_kind(records, "op"):
         first[op["logical"]] = min(op["begin"], first.get(op["logical"], op["begin"]))
         if op["ending"] == "served":
             served.add(op["logical"])
@@ -246,14 +246,14 @@
 
 def settled_s(plan: Plan, records: Sequence[Record]) -> float | None:
     """The moment from which no fault is on any more. None: the plan has no faults."""
-    ends = [r["end"] for r in of(records, "fault")]
+    ends = [r["end"] for r in records_of_kind(records, "fault")]
     return max(ends) if ends else None
 
 
 def progress(plan: Plan, records: Sequence[Record]) -> list[Breach]:
     """A stated time after the faults end, service is whole again. Who is held down to the plan's end is left
     out by its clients, who go elsewhere."""
-    from_s, end = settled_s(plan, records), of(records, "end")
+    from_s, end = settled_s(plan, records), records_of_kind(records, "end")
     if from_s is None or not end:
         return []
     begin_s = from_s + plan.aim.whole_s
@@ -267,7 +267,7 @@
 
 def whole_after_s(plan: Plan, records: Sequence[Record]) -> float | None:
     """Seconds from the end of the last fault until service is whole and stays so. None: it never is."""
-    from_s, end = settled_s(plan, records), of(records, "end")
+    from_s, end = settled_s(plan, records), records_of_kind(records, "end")
     if from_s is None or not end:
         return 0.0
     after: float | None = None
@@ -278,11 +278,11 @@
     return after
 
 
-def processes(plan: Plan, records: Sequence[Record]) -> list[Breach]:
+def check_processes(plan: Plan, records: Sequence[Record]) -> list[Breach]:
     """None ends by itself, hangs at its end, keeps more descriptors than its connections, or tells of an
     error that nobody caught."""
     found = []
-    for record in of(records, "state"):
+    for record in records_of_kind(records, "state"):
         if record["state"] == "crashed":
             what = f"ended by itself with code {record['code']}: {record.get('said', '')}"
             found.append(Breach("crash", record["t"], record["who"], what))
@@ -291,13 +291,13 @@
         if record["state"] == "left":
             found.append(Breach("left", record["t"], record["who"], "a process was left behind"))
     looks: dict[tuple[str, int], list[Record]] = defaultdict(list)
-    for look in of(records, "look"):
+    for look in records_of_kind(records, "look"):
         looks[look["who"], look["pid"]].append(look)
     for (who, _), each in looks.items():
         if each[-1].get("rested") and each[-1]["fds"] > each[0]["fds"] + MORE_DESCRIPTORS:
             what = f"{each[-1]['fds']} descriptors at rest, {each[0]['fds']} at first"
             found.append(Breach("descriptors", each[-1]["t"], who, what))
-    for record in of(records, "log"):
+    for record in records_of_kind(records, "log"):
         if "Traceback" in record["line"]:
             found.append(Breach("traceback", record["t"], record["who"], record["line"][:300]))
     return found
@@ -308,7 +308,7 @@
     found = []
     since: dict[str, tuple[float, str]] = {}
     spans: list[tuple[str, Span]] = []
-    for record in of(records, "state"):
+    for record in records_of_kind(records, "state"):
         who, what = record["who"], record["state"]
         if what in ("ended", "stopped"):
             since[who] = record["t"], what
@@ -316,7 +316,7 @@
             begin_s, why = since.pop(who)
             spans.append((who, Span(begin_s, record["t"], why)))
     for who, span in spans:
-        for op in of(records, "op"):
+        for op in records_of_kind(records, "op"):
             inside = span.begin_s < op["begin"] and op["end"] < span.end_s
             if op["instance"] == who and inside and op["status"]:
                 found.append(f"{who} answered {op['id']} while it was {span.why}")
@@ -324,7 +324,7 @@
 
 
 RULES: tuple[Callable[[Plan, Sequence[Record]], list[Breach]], ...] = (
-    answers, effects, stale, drained, pushed, honest, progress, processes,
+    answers, check_effects, stale, drained, pushed, honest, progress, check_processes,
 )  # fmt: skip
 
 
@@ -335,7 +335,7 @@
 
 def figures(plan: Plan, records: Sequence[Record]) -> dict[str, Any]:
     """What clients had, for tables: things asked for and served, and tries by ending."""
-    ops = of(records, "op")
+    ops = records_of_kind(records, "op")
     things = {op["logical"] for op in ops}
     served = {op["logical"] for op in ops if op["ending"] == "served"}
     endings: dict[str, int] = defaultdict(int)
--- a/client_proxy/fault_injection/page.py
+++ b/client_proxy/fault_injection/page.py
@@ -33,7 +33,7 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    begun = checks.of(records, "begin")
+    begun = checks.records_of_kind(records, "begin")
     zero = begun[0]["t"] if begun else (records[0]["t"] if records else 0.0)
     lanes = [*plan.instances(), *plan.racks()] + (["d"] if plan.fleet.line == "run" else [])
     row = {name: len(lanes) - n for n, name in enumerate(lanes)}
@@ -48,7 +48,7 @@
                 where = [(span.begin_s - zero, end - span.begin_s)]
                 top.broken_barh(where, (row[name] - 0.35, 0.7), color=STATES[span.why])
     points: dict[str, tuple[list[float], list[float]]] = defaultdict(lambda: ([], []))
-    for op in checks.of(records, "op"):
+    for op in checks.records_of_kind(records, "op"):
         ending = op["ending"] if op["ending"] in COLOURS else "lost"
         points[ending][0].append(op["end"] - zero)
         points[ending][1].append(row[op["instance"]] + 0.25 - 0.5 * (crc32(op["id"].encode()) % 100) / 100)
@@ -59,7 +59,7 @@
             top.plot([breach.t - zero], [row[breach.who]], marker="x", color="red", markersize=9, zorder=4)
     top.set_yticks([row[name] for name in lanes], lanes)
     top.legend(loc="upper right", fontsize=7)
-    end = checks.of(records, "end")
+    end = checks.records_of_kind(records, "end")
     windows = checks.shares(records, zero, end[0]["t"] if end else zero)
     bottom.step([w[0] - zero for w in windows], [w[2] / w[1] if w[1] else 1.0 for w in windows], where="post")
     bottom.set_ylim(0, 1.05)
@@ -73,7 +73,7 @@
 
 
 def _faults(axes: Any, records: Sequence[Record], row: dict[str, int], zero: float) -> None:
-    for fault in checks.of(records, "fault"):
+    for fault in checks.records_of_kind(records, "fault"):
         for name in fault["who"] + fault["to"]:
             if name in row:
                 span = [(fault["begin"] - zero, max(0.05, fault["end"] - fault["begin"]))]
--- a/client_proxy/fault_injection/plan.py
+++ b/client_proxy/fault_injection/plan.py
@@ -13,7 +13,7 @@
 from client_proxy.config.models import Model, parse
 from client_proxy.toml_table import TomlError, read_text
 
-MOST_INSTANCES = 60  # that the addresses and the wires are laid out for
+MAX_INSTANCES = 60  # that the addresses and the wires are laid out for
 MOST_S = 600.0
 
 OF_PROCESSES = ("kill", "term", "stop", "bad-start", "busy")
@@ -39,7 +39,7 @@
 class FleetTable(Model):
     """`[fleet]`"""
 
-    instances: int = Field(3, ge=1, le=MOST_INSTANCES, description="processes of the program")
+    instances: int = Field(3, ge=1, le=MAX_INSTANCES, description="processes of the program")
     line: Literal["serve", "run"] = Field(
         "serve", description="`serve`: `client-proxy serve` with watched files; `run`: the platform's line"
     )
@@ -231,7 +231,7 @@
     return parse(Plan, read_text(path), str(path))
 
 
-def worded(plan: Plan) -> str:
+def format_plan(plan: Plan) -> str:
     """The plan as a file that `load` reads back as the same plan."""
     import json
 
@@ -262,4 +262,4 @@
     return "\n".join(lines)
 
 
-__all__ = ["FaultTable", "Plan", "TomlError", "load", "worded"]
+__all__ = ["FaultTable", "Plan", "TomlError", "format_plan", "load"]
--- a/client_proxy/fault_injection/scenario_runner.py
+++ b/client_proxy/fault_injection/scenario_runner.py
@@ -19,17 +19,23 @@
 
 from client_proxy.fault_injection import history, invariants, versions
 from client_proxy.fault_injection.changes import tell_versions
-from client_proxy.fault_injection.child_process import RigError, descriptors, resident_kb, states, used_s
+from client_proxy.fault_injection.child_process import (
+    RigError,
+    cpu_time_s,
+    descriptors,
+    process_state,
+    resident_kb,
+)
 from client_proxy.fault_injection.faults import Fault
 from client_proxy.fault_injection.fleet import Fleet
-from client_proxy.fault_injection.plan import MOMENTS, Plan, worded
+from client_proxy.fault_injection.plan import MOMENTS, Plan, format_plan
 
 MARGIN_S = 2.0  # of load, past the moment from which service has to be whole
 START_S = 60.0  # within which all have to be ready
 REST_S = 0.5
 WATCH_S = 0.05
-LATE_S = 0.1  # a mean lateness of the rig's own timers from which on it gives no verdict
-MOST_LATE_S = 1.0  # and a single one
+MAX_MEAN_LATENESS_S = 0.1  # a mean lateness of the rig's own timers from which on it gives no verdict
+MAX_LATENESS_S = 1.0  # and a single one
 ENDS_S = 3.0  # past the longest deadline, after SIGTERM
 
 Say = Callable[[str], object]
@@ -185,7 +191,7 @@
         pid = self.fleet.instances[name].pid
         self.fleet.history.write(
             "look", time.monotonic(), who=name, pid=pid, fds=descriptors(pid), rss_kb=resident_kb(pid),
-            cpu_s=used_s(pid),
+            cpu_s=cpu_time_s(pid),
             rested=rested,
         )  # fmt: skip
 
@@ -194,7 +200,7 @@
         await self.fleet.clients.ask("end")
         await asyncio.sleep(REST_S)
         for name, child in self.fleet.instances.items():
-            if child.up and states(child.pid) != "T":
+            if child.up and process_state(child.pid) != "T":
                 self._look(name, rested=True)
 
     async def _end_instances(self) -> None:
@@ -202,13 +208,13 @@
         fleet = self.fleet
         within_s = self.plan.load.deadline_ms / 1000.0 + ENDS_S
         for name, child in fleet.instances.items():
-            if child.up and states(child.pid) != "T":
+            if child.up and process_state(child.pid) != "T":
                 fleet.ended_by_plan.add(name)
                 fleet.say_state(name, "ending")
                 with suppress(ProcessLookupError):
                     child.signal(15)
         for name, child in fleet.instances.items():
-            if child.up and states(child.pid) != "T" and await child.ended(within_s) is None:
+            if child.up and process_state(child.pid) != "T" and await child.wait_for_exit(within_s) is None:
                 fleet.say_state(name, "hangs")
 
     async def end(self) -> None:
@@ -216,7 +222,7 @@
         await self.fleet.end()
         for name, pid in pids:
             # Ours to wait for, and waited for: a number that is still there is a process left behind.
-            if os.path.exists(f"/proc/{pid}") and states(pid) not in ("", "Z"):
+            if os.path.exists(f"/proc/{pid}") and process_state(pid) not in ("", "Z"):
                 raise RigError(f"{name}: process {pid} is still there")
 
     def _all(self) -> list[Any]:
@@ -266,7 +272,7 @@
     if plan.fleet.seats:
         figures |= versions.figures(plan, records)
     verdict = Verdict(plan.name, plan.seed, "passed", breaches=breaches, figures=figures, lateness=late)
-    if mean_s > LATE_S or worst_s > MOST_LATE_S:
+    if mean_s > MAX_MEAN_LATENESS_S or worst_s > MAX_LATENESS_S:
         verdict.outcome = "refused"
         verdict.why = f"the rig's own timers were late by {mean_s:.3f} s, {worst_s:.2f} s at worst"
         return verdict
@@ -289,7 +295,7 @@
     """Play it in `folder`, which must not be there yet. Never raises for what the program or the rig does."""
     begin_s = time.monotonic()
     folder.mkdir(parents=True)
-    (folder / "plan.toml").write_text(worded(plan))
+    (folder / "plan.toml").write_text(format_plan(plan))
     drill = Drill(plan, folder, say)
     error = ""
     try:
--- a/client_proxy/fault_injection/soak/runner.py
+++ b/client_proxy/fault_injection/soak/runner.py
@@ -19,10 +19,10 @@
     Child,
     descriptors,
     handles_signal,
-    sockets,
-    states,
+    process_state,
+    tcp_sockets,
 )
-from client_proxy.fault_injection.fleet import address_part
+from client_proxy.fault_injection.fleet import loopback_prefix
 from client_proxy.fault_injection.soak.clients import READY_REQUEST, ClientConnection, IdleCrowd
 from client_proxy.fault_injection.soak.history import History, ProcessEnd, ResourceCount
 from client_proxy.fault_injection.soak.rules import Breach, check
@@ -115,7 +115,7 @@
         for discovery in self._discoveries:
             await discovery.listen()
         # An address of this run's own: a free port of a shared one might be another run's by the time of use.
-        self._address = (f"{address_part(self.schedule.seed)}.{HOST}", PORT)
+        self._address = (f"{loopback_prefix(self.schedule.seed)}.{HOST}", PORT)
         self._crowd = IdleCrowd(self.schedule.crowd, self._address)
 
     def _write_configuration(self) -> None:
@@ -143,7 +143,7 @@
         await self._begin_process()
         await asyncio.sleep(after_s)
         self._signal(signal.SIGTERM)
-        await self._child.ended(EARLY_END_WITHIN_S)
+        await self._child.wait_for_exit(EARLY_END_WITHIN_S)
         await self._record_end(early=True)
 
     async def _start_proxy(self) -> None:
@@ -152,7 +152,7 @@
         await self._until(self._handles_hangup)
         series = asyncio.create_task(self._hang_up_while_starting())
         try:
-            await self._child.listening(self._address[1], READY_WITHIN_S)
+            await self._child.wait_until_listening(self._address[1], READY_WITHIN_S)
             await self._until_ready()
         finally:
             series.cancel()
@@ -261,7 +261,7 @@
         upstream = [
             remote
             for state in (ESTABLISHED, SYN_SENT, CLOSE_WAIT)
-            for _, _, _, remote in sockets(pid, state)
+            for _, _, _, remote in tcp_sockets(pid, state)
             if remote in ports
         ]
         with suppress(OSError):
@@ -271,7 +271,7 @@
     async def _restart(self) -> None:
         """Wait for the proxy's end, and kill it at the page's earliest."""
         loop = asyncio.get_running_loop()
-        await self._child.ended(self._start_s + self.schedule.kill_s - loop.time())
+        await self._child.wait_for_exit(self._start_s + self.schedule.kill_s - loop.time())
         if self._child.up:
             self.history.killed_s = loop.time()
             await self._child.kill()
@@ -282,13 +282,13 @@
         killed = self.history.killed_s is not None  # by the schedule: one that has to be killed early hangs
         if self._child.up:
             await self._child.kill()
-        code = await self._child.ended(EARLY_END_WITHIN_S)
+        code = await self._child.wait_for_exit(EARLY_END_WITHIN_S)
         log = self._child.log.read_text(errors="replace")
         self._child.log.unlink()
         self.history.ends.append(ProcessEnd(code or 0, killed, early, log))
 
     async def _clean_up(self) -> None:
-        if self._child.up and states(self._child.pid) == "T":
+        if self._child.up and process_state(self._child.pid) == "T":
             self._signal(signal.SIGCONT)
         await self._child.kill()
         self._crowd.close()
--- a/client_proxy/fault_injection/versions.py
+++ b/client_proxy/fault_injection/versions.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from client_proxy.fault_injection.history import Record
-from client_proxy.fault_injection.invariants import SLACK_S, Breach, arrivals, of
+from client_proxy.fault_injection.invariants import SLACK_S, Breach, arrivals, records_of_kind
 from client_proxy.fault_injection.plan import Plan
 
 CLOCK_ERROR = 0.05
@@ -45,8 +45,10 @@
     """By number. What an author was not told is looked up in what instances told at the end."""
     whole = frozenset(plan.servers()) - set(plan.fleet.without)
     found = {1: Known(1, whole, 3, float("-inf"), float("-inf"))}
-    numbers = {name: n for told in of(records, "versions") for n, name in told["versions"] if name}
-    for change in of(records, "change"):
+    numbers = {
+        name: n for told in records_of_kind(records, "versions") for n, name in told["versions"] if name
+    }
+    for change in records_of_kind(records, "change"):
         number = change["version"] if change["what"] == "decided" else numbers.get(change["name"], 0)
         if number:
             told_s = change["end"] if change["what"] == "decided" else float("inf")
@@ -67,7 +69,7 @@
 
 
 def seen(plan: Plan, records: Sequence[Record], known: dict[int, Known]) -> tuple[list[Seen], list[Breach]]:
-    ops = {op["id"]: op for op in of(records, "op")}
+    ops = {op["id"]: op for op in records_of_kind(records, "op")}
     reached: dict[str, list[Record]] = defaultdict(list)
     for arrival in arrivals(records):
         if arrival["id"] in ops:
@@ -115,7 +117,7 @@
     w_s = overlap_s(plan)
     # From when on nothing older than this number may decide what begins.
     ends = sorted((at_s + w_s, number) for number, at_s in by_s.items() if number > 1)
-    slack_s = SLACK_S + max((2 * r["worst_s"] for r in of(records, "late")), default=0.0)
+    slack_s = SLACK_S + max((2 * r["worst_s"] for r in records_of_kind(records, "late")), default=0.0)
     told: set[tuple[str, int]] = set()
     for request in requests:
         newest = max(request.by)
@@ -134,7 +136,7 @@
 def _split(records: Sequence[Record]) -> list[Breach]:
     first: dict[int, tuple[str, str]] = {}
     found: list[Breach] = []
-    for told in of(records, "versions"):
+    for told in records_of_kind(records, "versions"):
         for number, name in told["versions"]:
             known = first.setdefault(number, (name, told["who"]))
             if known[0] != name:
@@ -163,7 +165,7 @@
     """Of the changes of a drill, for tables."""
     counts: dict[str, int] = defaultdict(int)
     took = []
-    for change in of(records, "change"):
+    for change in records_of_kind(records, "change"):
         counts[change["what"]] += 1
         took.append(1000.0 * (change["end"] - change["t"]))
     return {
--- a/client_proxy/scale/fleet.py
+++ b/client_proxy/scale/fleet.py
@@ -24,14 +24,14 @@
     Helper,
     Json,
     RigError,
+    cpu_time_s,
+    process_state,
     resident_kb,
-    states,
-    used_s,
     waited_s,
 )
-from client_proxy.fault_injection.fleet import rack_day
+from client_proxy.fault_injection.fleet import rack_scenario
 from client_proxy.fault_injection.helper import Lateness
-from client_proxy.fault_injection.plan import MOST_INSTANCES, FleetTable, LoadTable
+from client_proxy.fault_injection.plan import MAX_INSTANCES, FleetTable, LoadTable
 from client_proxy.fault_injection.plan import Plan as RigPlan
 from client_proxy.scale.files import INSTANCE_FILE_NAME, InstanceFiles, first_policy
 from client_proxy.scale.plan import ScalePlan
@@ -69,7 +69,7 @@
         self.host = host
 
     async def begin(self, module: str = "client_proxy.scale.hollow") -> None:
-        await self.start(module, piped=True, faulty=self.folder)
+        await self.start(module, piped=True, fault_folder=self.folder)
 
     async def pause(self) -> None:
         """Stops the process by SIGSTOP while no order is pending.
@@ -77,7 +77,7 @@
         A late answer would be taken for the answer to the next order. Raises RigError if it doesn't stop."""
         async with self._turn:
             self.signal(signal.SIGSTOP)
-            if not await self.until("T"):
+            if not await self.wait_for_state("T"):
                 raise RigError(f"{self.name}: process did not stop after SIGSTOP")
 
 
@@ -247,7 +247,7 @@
 
         An emulated server listens on one address per client proxy of its plan. Here each address stands for
         one server name of the policy."""
-        per_rack = -(-listeners // MOST_INSTANCES)
+        per_rack = -(-listeners // MAX_INSTANCES)
         fleet = FleetTable(instances=-(-listeners // per_rack), racks=racks, per_rack=per_rack)
         load = LoadTable(work_ms=self.plan.real.work_ms, deadline_ms=self.plan.real.deadline_ms)
         return RigPlan(name="scale", seed=self.plan.seed, fleet=fleet, load=load)
@@ -259,7 +259,7 @@
         await helper.begin("client_proxy.fault_injection.servers")
         answer = await helper.ask(
             "begin",
-            day=format_scenario(rack_day(self._server_plan(1, listeners), ("r0",), halls=False)),
+            day=format_scenario(rack_scenario(self._server_plan(1, listeners), ("r0",), halls=False)),
             host=self.layout.spare_host(),
             history="/dev/null",
             cold=False,
@@ -276,7 +276,7 @@
         }
         answer = await self.discovery.ask(
             "begin",
-            day=format_scenario(rack_day(plan, plan.racks(), halls=True)),
+            day=format_scenario(rack_scenario(plan, plan.racks(), halls=True)),
             host=self.layout.spare_host(),
             doors=targets,
             history="/dev/null",
@@ -320,7 +320,9 @@
 
         A process that has died is reported as ended shortly after its pipes close, so this waits for it."""
         text = f"{process.host.label}: {error}"
-        silent = isinstance(error.__context__, TimeoutError) and await process.ended(EXIT_WAIT_S) is None
+        silent = (
+            isinstance(error.__context__, TimeoutError) and await process.wait_for_exit(EXIT_WAIT_S) is None
+        )
         return HollowUnresponsive(text) if silent else HollowLost(text)
 
     async def _start_real(self, hosts: list[HostProcess]) -> None:
@@ -328,10 +330,10 @@
             child = self.real[host.name] = Child(host.name, self.folder)
             home = self.home(host.placements[0])
             await child.start(
-                "client_proxy.cli", "serve", "--config", str(home / INSTANCE_FILE_NAME), faulty=home
+                "client_proxy.cli", "serve", "--config", str(home / INSTANCE_FILE_NAME), fault_folder=home
             )
         for host in hosts:
-            await self.real[host.name].listening(self._ports[host.name])
+            await self.real[host.name].wait_until_listening(self._ports[host.name])
 
     async def _start_clients(self) -> None:
         names, size = list(self.real), self.plan.real.per_client
@@ -465,7 +467,7 @@
                 continue
             traffic = (await child.order(do="look"))["traffic"]
             pid = child.pid
-            samples[name] = Sample(used_s(pid), resident_kb(pid), waited_s(pid), traffic)
+            samples[name] = Sample(cpu_time_s(pid), resident_kb(pid), waited_s(pid), traffic)
         return samples
 
     # Faults
@@ -543,7 +545,7 @@
         self._address_claim.release()
         shutil.rmtree(self.tmpfs, ignore_errors=True)
         for name, pid in pids.items():
-            if states(pid) not in ("", "Z"):
+            if process_state(pid) not in ("", "Z"):
                 raise RigError(f"{name}: process {pid} is still running after the end of the run")
 
 
--- a/client_proxy/scale/run.py
+++ b/client_proxy/scale/run.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from client_proxy.fault_injection.child_process import Json, RigError
-from client_proxy.fault_injection.scenario_runner import LATE_S, MOST_LATE_S
+from client_proxy.fault_injection.scenario_runner import MAX_LATENESS_S, MAX_MEAN_LATENESS_S
 from client_proxy.scale import measure
 from client_proxy.scale.fleet import MAX_CORE_WAIT_SHARE, Fleet, HollowLost, HollowUnresponsive, Sample
 from client_proxy.scale.phases import DayCourse
@@ -166,12 +166,12 @@
     async def _check_timers(self) -> None:
         """Refuses the run if timers of its own processes were late. Its measurements don't count then."""
         late = self.report.lateness
-        late["run"] = self.fleet.lateness.told()
+        late["run"] = self.fleet.lateness.summary()
         for helper in (*self.fleet.clients, *self.fleet.servers):
             late[helper.name] = await helper.ask("late")
         busy = list(self.fleet.busy)
         for name, timers in late.items():
-            if timers["mean_s"] > LATE_S or timers["worst_s"] > MOST_LATE_S:
+            if timers["mean_s"] > MAX_MEAN_LATENESS_S or timers["worst_s"] > MAX_LATENESS_S:
                 busy.append(
                     f"{name}: timers late by {timers['mean_s']:.3f} s in the mean, "
                     f"{timers['worst_s']:.2f} s at worst"
--- a/tests/compatibility/edge_objects.py
+++ b/tests/compatibility/edge_objects.py
@@ -318,4 +318,4 @@
 
 def drill_text(text: str) -> str:
     """A drill plan, read and written again."""
-    return drill.worded(models.parse(drill.Plan, text, "drill.toml"))
+    return drill.format_plan(models.parse(drill.Plan, text, "drill.toml"))
--- a/tests/consensus/test_fault_scenarios.py
+++ b/tests/consensus/test_fault_scenarios.py
@@ -9,7 +9,7 @@
 from client_proxy.fault_injection import history, scenario_runner
 from client_proxy.fault_injection.plan import After, AimTable, FaultTable, FleetTable, LoadTable, Plan
 from client_proxy.fault_injection.scenario_runner import Verdict
-from tests.fault_injection.test_drills import build
+from tests.fault_injection.test_drills import build_broken_checkout
 
 INSTANCES = ("i0", "i1", "i2", "i3")
 OBJECTIVE = AimTable(whole_s=2.0, stale_s=1.2)
@@ -56,7 +56,7 @@
 
 
 def test_an_instance_that_ignores_the_end_of_its_lease_is_detected(tmp_path: Path) -> None:
-    broken = build(
+    broken = build_broken_checkout(
         tmp_path,
         "consensus/lease_holder.py",
         "        return self.active_version if now_ms < self._lease_until_ms else None\n",
--- a/tests/consensus/transports.py
+++ b/tests/consensus/transports.py
@@ -18,7 +18,7 @@
 from client_proxy.consensus.store import Store
 from client_proxy.consensus.transport import ConsensusTransport
 from client_proxy.emulator.simulated_keys import derive_keyring
-from client_proxy.fault_injection.fleet import address_part
+from client_proxy.fault_injection.fleet import loopback_prefix
 
 FIRST_BODY = b"first"
 KEY_SEED = 5
@@ -66,14 +66,14 @@
     """Runs a test with instances 1 to 3, which have an acceptor, and instance 4 without one."""
 
     async def run() -> None:
-        # All instances need the acceptors' addresses at the start; `address_part` is unique per process.
-        addresses = {member: (f"{address_part()}.{100 + member}", PORT) for member in (1, 2, 3)}
+        # All instances need the acceptors' addresses at the start; `loopback_prefix` is unique per process.
+        addresses = {member: (f"{loopback_prefix()}.{100 + member}", PORT) for member in (1, 2, 3)}
         peers = {
             member: Peer(member, address, derive_keyring(KEY_SEED, member, "h").signer.public_key)
             for member, address in addresses.items()
         }
         fleet = {member: make_instance(folder, member, peers, peers[member].address) for member in peers}
-        fleet[4] = make_instance(folder, 4, peers, (f"{address_part()}.104", PORT))
+        fleet[4] = make_instance(folder, 4, peers, (f"{loopback_prefix()}.104", PORT))
         for instance in fleet.values():
             await instance.transport.bind()
             instance.transport.start()
--- a/tests/fault_injection/test_drills.py
+++ b/tests/fault_injection/test_drills.py
@@ -14,7 +14,7 @@
 import pytest
 
 from client_proxy.fault_injection import history, scenario_runner
-from client_proxy.fault_injection.child_process import ROOT, states
+from client_proxy.fault_injection.child_process import ROOT, process_state
 from client_proxy.fault_injection.plan import AimTable, FaultTable, FleetTable, LoadTable, Plan
 from client_proxy.fault_injection.scenario_runner import Verdict
 
@@ -90,7 +90,7 @@
     assert verdict.outcome == "passed", (verdict.why, verdict.breaches[:3])
 
 
-def build(folder: Path, file: str, old: str, new: str) -> str:
+def build_broken_checkout(folder: Path, file: str, old: str, new: str) -> str:
     """A copy of the program with one thing broken."""
     made = folder / "broken"
     shutil.copytree(
@@ -140,7 +140,7 @@
         FaultTable(kind="reset", who=all_, to=(f"r{n % 3}",), at_s=0.8 + n / 2, for_s=0.1) for n in range(6)
     ]
     faults = [FaultTable(kind="list", who=all_, at_s=0.5, drop=("r1-2",)), *breaks]
-    stated = plan(*faults, racks=3, others={"i1": build(tmp_path, *BROKEN[rule])})
+    stated = plan(*faults, racks=3, others={"i1": build_broken_checkout(tmp_path, *BROKEN[rule])})
     stated = stated.model_copy(update={"load": LoadTable(rate=30, work_ms=100.0, unsafe_share=0.9)})
     verdict = played(stated, tmp_path)
     assert verdict.outcome == "failed", verdict.why
@@ -194,9 +194,9 @@
         return found
 
     with subprocess.Popen(words, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL) as made:
-        until(lambda: any(states(pid) == "T" for pid in children(made.pid)))
+        until(lambda: any(process_state(pid) == "T" for pid in children(made.pid)))
         pids = children(made.pid)
         assert len(pids) >= 3 + 3 + 2  # instances, racks, wires, clients
         made.send_signal(signal.SIGKILL)
         made.wait()
-    until(lambda: all(states(pid) in ("", "Z") for pid in pids))
+    until(lambda: all(process_state(pid) in ("", "Z") for pid in pids))
--- a/tests/fault_injection/test_explore.py
+++ b/tests/fault_injection/test_explore.py
@@ -9,7 +9,7 @@
 
 from client_proxy.config.models import parse
 from client_proxy.fault_injection.explore import draw, shrink
-from client_proxy.fault_injection.plan import OF_AGREEMENT, FaultTable, FleetTable, Plan, worded
+from client_proxy.fault_injection.plan import OF_AGREEMENT, FaultTable, FleetTable, Plan, format_plan
 
 
 @pytest.mark.parametrize("fleet", [FleetTable(instances=4, gossip=True), FleetTable(instances=3, line="run")])
@@ -18,7 +18,7 @@
     kinds = set()
     for seed in range(200):
         plan = draw(base, seed)
-        assert parse(Plan, worded(plan), "drawn") == plan == draw(base, seed)
+        assert parse(Plan, format_plan(plan), "drawn") == plan == draw(base, seed)
         kinds |= {fault.kind for fault in plan.fault}
         befallen = {name for fault in plan.fault for name in (*fault.who, *fault.to)}
         hit = {name for fault in plan.fault if fault.kind not in ("late", "loss") for name in fault.who}
--- a/tests/fault_injection/test_layers.py
+++ b/tests/fault_injection/test_layers.py
@@ -12,7 +12,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from client_proxy.fault_injection.child_process import INSIDE, ROOT, Child, states
+from client_proxy.fault_injection.child_process import INSIDE, ROOT, Child, process_state
 
 PROBE = """
 import asyncio, json, os, socket, sys, time
@@ -58,10 +58,15 @@
         (folder / "home").mkdir()
         self.child = Child("probe", folder)
 
-    async def start(self, bent: bool = False) -> None:
+    async def start(self, adjustable_clock: bool = False) -> None:
         home = self.folder / "home"
         await self.child.start(
-            "probe_program", str(home), path=self.folder, piped=True, faulty=home, bent=bent
+            "probe_program",
+            str(home),
+            path=self.folder,
+            piped=True,
+            fault_folder=home,
+            adjustable_clock=adjustable_clock,
         )
 
     async def do(self, words: str) -> list[object]:
@@ -75,11 +80,11 @@
         return answer
 
 
-def probed(folder: Path, test: Callable[[Probed], Awaitable[None]], bent: bool = False) -> None:
+def probed(folder: Path, test: Callable[[Probed], Awaitable[None]], adjustable_clock: bool = False) -> None:
     async def run() -> None:
         async with asyncio.timeout(30):
             made = Probed(folder)
-            await made.start(bent)
+            await made.start(adjustable_clock)
             try:
                 await test(made)
             finally:
@@ -108,7 +113,7 @@
     async def test(made: Probed) -> None:
         await made.child.order(do="disk", mode="torn")
         assert (await made.do("write a")) == ["gone"]
-        assert await made.child.ended(5.0) == -signal.SIGKILL
+        assert await made.child.wait_for_exit(5.0) == -signal.SIGKILL
         assert (tmp_path / "home" / "a").stat().st_size == 50
 
     probed(tmp_path, test)
@@ -127,7 +132,7 @@
         assert 3500 < right["unix_s"] - two["unix_s"] < 3700
         assert (await made.do("write a"))[1] >= right["told_s"]
 
-    probed(tmp_path, test, bent=True)
+    probed(tmp_path, test, adjustable_clock=True)
 
 
 def test_dials_to_an_address_that_is_cut_hang_and_others_do_not(tmp_path: Path) -> None:
@@ -228,4 +233,4 @@
         os.kill(pid, signal.SIGSTOP)
         made.kill()
         made.wait()
-        asyncio.run(until(lambda: states(pid) in ("", "Z")))
+        asyncio.run(until(lambda: process_state(pid) in ("", "Z")))
--- a/tests/fault_injection/test_plan.py
+++ b/tests/fault_injection/test_plan.py
@@ -7,7 +7,7 @@
 import pytest
 
 from client_proxy.config.models import parse
-from client_proxy.fault_injection.plan import Plan, load, worded
+from client_proxy.fault_injection.plan import Plan, format_plan, load
 from client_proxy.toml_table import TomlError
 
 DRILLS = sorted((Path(__file__).parents[2] / "examples" / "drills").glob("*.toml"))
@@ -17,7 +17,7 @@
 def test_a_shipped_plan_reads_back_as_itself(path: Path) -> None:
     plan = load(path)
     assert plan.name == path.stem
-    assert parse(Plan, worded(plan), "again") == plan
+    assert parse(Plan, format_plan(plan), "again") == plan
 
 
 def faulty(fault: str, fleet: str = "") -> str:
--- a/tests/proxy/test_long_list_processes.py
+++ b/tests/proxy/test_long_list_processes.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from pathlib import Path
 
-from client_proxy.fault_injection.child_process import LISTEN, sockets
+from client_proxy.fault_injection.child_process import LISTEN, tcp_sockets
 from client_proxy.proxy.daemon import connection_quota
 from tests.proxy.sockets import KEYED_CLASS, Client, Host, run, until
 
@@ -40,8 +40,8 @@
     """Start a daemon; returns the process and its port."""
     arguments = ["-m", "client_proxy.cli", "serve", "--config", str(folder / "serve.toml")]
     process = await asyncio.create_subprocess_exec(sys.executable, *arguments, stdout=DEVNULL, stderr=DEVNULL)
-    await until(lambda: bool(sockets(process.pid, LISTEN)) or process.returncode is not None)
-    return process, sockets(process.pid, LISTEN)[0][1]
+    await until(lambda: bool(tcp_sockets(process.pid, LISTEN)) or process.returncode is not None)
+    return process, tcp_sockets(process.pid, LISTEN)[0][1]
 
 
 async def calls(port: int, number: int) -> Counter[int]:
@@ -77,7 +77,7 @@
             def max_server_connections() -> int:
                 """Return the largest number of connections to servers that a daemon has now."""
                 return max(
-                    sum(remote in server_ports for _, _, _, remote in sockets(process.pid, ESTABLISHED))
+                    sum(remote in server_ports for _, _, _, remote in tcp_sockets(process.pid, ESTABLISHED))
                     for process, _ in daemons
                 )
 
--- a/tests/scale/test_faults.py
+++ b/tests/scale/test_faults.py
@@ -15,7 +15,7 @@
 import pytest
 
 from client_proxy.fault_injection import child_process
-from client_proxy.fault_injection.child_process import ROOT, Child, states
+from client_proxy.fault_injection.child_process import ROOT, Child, process_state
 from client_proxy.scale import measure
 from client_proxy.scale import run as runs
 from client_proxy.scale.fleet import (
@@ -69,7 +69,7 @@
 
 def running_processes(fleet: Fleet) -> list[str]:
     children: list[Child] = [*fleet.hollow.values(), *fleet.servers, fleet.authors]
-    return [child.name for child in children if child.pid and states(child.pid) not in ("", "Z")]
+    return [child.name for child in children if child.pid and process_state(child.pid) not in ("", "Z")]
 
 
 def test_a_killed_hollow_instance_fails_the_run_and_is_named(
@@ -223,9 +223,9 @@
         command.send_signal(signal_number)
         command.wait(timeout=EXIT_TIMEOUT_S)
     end_s = time.monotonic() + EXIT_TIMEOUT_S
-    while time.monotonic() < end_s and any(states(pid) not in ("", "Z") for pid in pids):
+    while time.monotonic() < end_s and any(process_state(pid) not in ("", "Z") for pid in pids):
         time.sleep(0.05)
-    assert [pid for pid in pids if states(pid) not in ("", "Z")] == []
+    assert [pid for pid in pids if process_state(pid) not in ("", "Z")] == []
     folders = list(TMPFS.glob(f"{TMPFS_PREFIX}{command.pid}-*"))
     if signal_number is signal.SIGINT:
         assert folders == []
