--- a/client_proxy/fault_injection/__init__.py
+++ b/client_proxy/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""Fleets of real processes, faults between them, histories, and checkers of what clients saw."""
+"""Drills: fleets of real processes under injected faults, their histories, and checks of what clients saw."""
--- a/client_proxy/fault_injection/changes.py
+++ b/client_proxy/fault_injection/changes.py
@@ -1,7 +1,7 @@
-"""Changes of the agreed policy in a drill, made as operators make them: through an instance's control socket.
+"""Changes of the agreed policy during a drill, proposed through an instance's control socket as operators do.
 
-What became of each stands in the history, with the servers that it names: so that what clients saw can be
-held against it."""
+The history gets one `change` record for each, with its outcome and the servers that it lists, so that the
+checks can compare it with what clients saw."""
 
 from __future__ import annotations
 
@@ -16,104 +16,119 @@
 from client_proxy.fault_injection.fleet import Fleet
 from client_proxy.fault_injection.plan import FaultTable
 
-Seen = dict[str, Any]
-ENDS_S = 30.0
-SAMPLE_S = 0.02
+Json = dict[str, Any]
+CHANGE_TIMEOUT_S = 30.0  # longest wait for the outcome of a change
+POLL_S = 0.02  # between two status questions to the author
 
 
-async def _asked(control: Path, question: Seen) -> Seen:
-    """Raises RigError: nobody answers there."""
+async def _ask(control: Path, request: Json) -> Json:
+    """Return the answer from the control socket at `control`. Raises RigError if none comes."""
     try:
-        return await asyncio.to_thread(ask, control, question)
+        return await asyncio.to_thread(ask, control, request)
     except (OSError, ValueError) as error:
-        raise RigError(f"{control.parent.name}: its control socket: {error}") from None
+        raise RigError(f"{control.parent.name}: control socket {control}: {error}") from None
 
 
-async def _ended(fleet: Fleet, name: str, change: str) -> Seen:
-    """What the instance tells that became of it. An author that dies tells nothing, in its next life
-    neither."""
+async def _wait_for_outcome(fleet: Fleet, name: str, change: str) -> Json:
+    """Wait for the outcome of a change, as its author `name` reports it.
+
+    An author that dies forgets its changes, also after a restart: their outcome is `unknown`.
+    """
     child, control = fleet.instances[name], fleet.home(name) / "control.sock"
-    pid, end_s = child.pid, time.monotonic() + ENDS_S
-    while time.monotonic() < end_s:
+    pid, deadline_s = child.pid, time.monotonic() + CHANGE_TIMEOUT_S
+    while time.monotonic() < deadline_s:
         with contextlib.suppress(RigError):
-            status = await _asked(control, {"do": "status"})
-            told = status.get("agreement", {}).get("changes", [])
-            found = next((each for each in told if each["change"] == change), None)
-            if found is not None:
-                return dict(found)
+            status = await _ask(control, {"do": "status"})
+            changes = status.get("agreement", {}).get("changes", [])
+            match = next((entry for entry in changes if entry["change"] == change), None)
+            if match is not None:
+                return dict(match)
         if not child.up or child.pid != pid:
             return {"what": "unknown", "why": "its author is gone"}
-        await asyncio.sleep(SAMPLE_S)
-    return {"what": "unknown", "why": f"not ended after {ENDS_S:g} s"}
+        await asyncio.sleep(POLL_S)
+    return {"what": "unknown", "why": f"not ended after {CHANGE_TIMEOUT_S:g} s"}
+
+
+async def make_changes(fleet: Fleet, number: int, fault: FaultTable, name: str) -> Json:
+    """Make the changes of one fault of the plan, one after the other, through the instance `name`.
+
+    Args:
+        fleet: The drill's processes.
+        number: The fault's number in the plan; part of the changes' names.
+        stated: The fault.
+        name: The instance that proposes.
 
+    Returns:
+        The outcome of the last change; of several, also how many had each outcome.
 
-async def make_changes(fleet: Fleet, number: int, stated: FaultTable, name: str) -> Seen:
-    """All changes of one fault, one after the other. Returns what became of the last, and how many of
-    each."""
+    Raises:
+        RigError: The instance does not answer although it should be running.
+    """
     counts: dict[str, int] = {}
-    seen: Seen = {}
-    for nth in range(stated.many):
-        change = f"change-{number}" if stated.many == 1 else f"change-{number}-{nth}"
-        seen = await _one(fleet, stated, name, change, nth)
-        counts[str(seen["what"])] = counts.get(str(seen["what"]), 0) + 1
-    return seen if stated.many == 1 else {**seen, "counts": counts}
+    outcome: Json = {}
+    for index in range(fault.many):
+        change = f"change-{number}" if fault.many == 1 else f"change-{number}-{index}"
+        outcome = await _make_change(fleet, fault, name, change, index)
+        counts[str(outcome["what"])] = counts.get(str(outcome["what"]), 0) + 1
+    return outcome if fault.many == 1 else {**outcome, "counts": counts}
 
 
-async def _one(fleet: Fleet, stated: FaultTable, name: str, change: str, nth: int) -> Seen:
+async def _make_change(fleet: Fleet, fault: FaultTable, name: str, change: str, index: int) -> Json:
     control = fleet.home(name) / "control.sock"
-    question: Seen = {"change": change, "who": "drill", "why": change}
-    said: Seen = {}
-    if stated.kind in ("propose", "withdraw", "dry-run"):
-        drop = stated.cycle[nth % len(stated.cycle)] if stated.cycle else stated.drop
-        file, said = fleet.proposal(change, drop, bool(stated.anew or stated.cycle), stated)
-        question |= {"do": "propose", "file": str(file), "dry": stated.kind == "dry-run"}
-        question["despite"] = [int(each[1:]) + 1 for each in stated.despite]
-    elif stated.kind == "back":
-        question |= {"do": "back", "version": stated.version}
+    request: Json = {"change": change, "who": "drill", "why": change}
+    details: Json = {}
+    if fault.kind in ("propose", "withdraw", "dry-run"):
+        drop = fault.cycle[index % len(fault.cycle)] if fault.cycle else fault.drop
+        file, details = fleet.proposal(change, drop, bool(fault.anew or fault.cycle), fault)
+        request |= {"do": "propose", "file": str(file), "dry": fault.kind == "dry-run"}
+        request["despite"] = [int(entry[1:]) + 1 for entry in fault.despite]
+    elif fault.kind == "back":
+        request |= {"do": "back", "version": fault.version}
     else:
-        member = int(stated.seat[1:]) + 1
+        member = int(fault.seat[1:]) + 1
         seat = (
             {"remove": member}
-            if stated.remove
-            else {"add": {"member": member, "memory": fleet.memories[stated.seat]}}
+            if fault.remove
+            else {"add": {"member": member, "memory": fleet.storage_ids[fault.seat]}}
         )
-        question |= {"do": "seat", **seat}
+        request |= {"do": "seat", **seat}
     begin_s = time.monotonic()
     try:
-        answer = await _asked(control, question)
+        answer = await _ask(control, request)
     except RigError:
         if fleet.instances[name].up and name not in fleet.ended_by_plan:
             raise
-        answer = {"ok": True}  # it died as it was asked: perhaps with the change under way
+        answer = {"ok": True}  # it died while it was asked; the change may be in progress
     if not answer["ok"]:
-        ended: Seen = {"what": "refused", "why": answer.get("why")}
+        outcome: Json = {"what": "refused", "why": answer.get("why")}
     else:
-        if stated.kind == "withdraw":
+        if fault.kind == "withdraw":
             with contextlib.suppress(RigError):
-                called = await _asked(control, {"do": "withdraw", "change": change})
-                said["called_off"] = called["ok"] or called.get("why")
-        ended = await _ended(fleet, name, change)
-    if stated.kind == "back" and ended["what"] == "decided":
-        said = fleet.versions.get(stated.version, {})
-    if stated.kind == "reseat":
-        said = fleet.versions.get(fleet.newest, {})
-    if ended["what"] == "decided":
-        fleet.newest = int(ended["version"])
-        fleet.versions[fleet.newest] = said
+                withdrawal = await _ask(control, {"do": "withdraw", "change": change})
+                details["called_off"] = withdrawal["ok"] or withdrawal.get("why")
+        outcome = await _wait_for_outcome(fleet, name, change)
+    if fault.kind == "back" and outcome["what"] == "decided":
+        details = fleet.versions.get(fault.version, {})
+    if fault.kind == "reseat":
+        details = fleet.versions.get(fleet.newest_version, {})
+    if outcome["what"] == "decided":
+        fleet.newest_version = int(outcome["version"])
+        fleet.versions[fleet.newest_version] = details
     fleet.history.write(
-        "change", begin_s, name=change, instance=name, what=ended["what"], version=ended.get("version", 0),
-        servers=said.get("servers", []), attempts=said.get("attempts", 0), end=round(time.monotonic(), 6),
+        "change", begin_s, name=change, instance=name, what=outcome["what"],
+        version=outcome.get("version", 0), servers=details.get("servers", []),
+        attempts=details.get("attempts", 0), end=round(time.monotonic(), 6),
     )  # fmt: skip
-    return {**ended, **({"called_off": said["called_off"]} if "called_off" in said else {})}
+    return {**outcome, **({"called_off": details["called_off"]} if "called_off" in details else {})}
 
 
-async def tell_versions(fleet: Fleet) -> None:
-    """What each instance that is up tells its operators of all that was decided."""
+async def record_versions(fleet: Fleet) -> None:
+    """Record the decided versions that each running instance reports to its operators."""
     for name, child in fleet.instances.items():
         control = fleet.home(name) / "control.sock"
         if not child.up or not fleet.plan.fleet.seats:
             continue
         with contextlib.suppress(RigError):
-            answer = await _asked(control, {"do": "history"})
-            versions = [[each["version"], each["change"]] for each in answer.get("versions", ())]
+            answer = await _ask(control, {"do": "history"})
+            versions = [[entry["version"], entry["change"]] for entry in answer.get("versions", ())]
             fleet.history.write("versions", time.monotonic(), who=name, versions=versions)
--- a/client_proxy/fault_injection/child_process.py
+++ b/client_proxy/fault_injection/child_process.py
@@ -1,7 +1,7 @@
-"""One process of a drill: started, in hand, looked at through /proc, and ended whole.
+"""Child processes of a drill: start, signals, control messages, inspection through /proc, and end.
 
-Everything a drill starts goes through `in_process_faults.py`, which has the system kill it when the drill
-dies; so a kill -9 of the drill leaves nothing behind."""
+Each is started by way of `in_process_faults.py`, which asks the kernel to kill it when the drill dies; so a
+kill -9 of the drill leaves no process behind."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from pathlib import Path
 from typing import Any
 
-from client_proxy.fault_injection.helper import MOST_ORDER
+from client_proxy.fault_injection.helper import MAX_ORDER_BYTES
 
 Json = dict[str, Any]
 ROOT = Path(__file__).resolve().parents[2]
-INSIDE = Path(__file__).with_name("in_process_faults.py")
-LOOK_S = 0.005  # between two looks at /proc, where the system tells no event
-ANSWER_S = 20.0
-LISTEN = "0A"  # states of /proc/net/tcp
-SYN_SENT = "02"
+LAUNCHER = Path(__file__).with_name("in_process_faults.py")
+POLL_S = 0.005  # between two reads of /proc, which notifies nobody of changes
+ANSWER_TIMEOUT_S = 20.0  # longest wait for the answer to an order
+LISTEN = "0A"  # state of a socket in /proc/net/tcp
+SYN_SENT = "02"  # likewise
 
 
 class RigError(RuntimeError):
-    """The drill itself could not do what the plan says: no verdict on the program."""
+    """The drill itself could not do what the plan says, so there is no verdict on the program."""
 
 
 def process_state(pid: int) -> str:
-    """The letter of its state (proc(5)); "" if it is gone."""
+    """Return the letter of a process's state (proc(5)); "" if there is no such process."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
@@ -41,7 +41,7 @@
 
 
 def tcp_sockets(pid: int, state: str) -> list[tuple[str, int, str, int]]:
-    """Its TCP sockets over IPv4 in that state: local address and port, remote address and port."""
+    """Return a process's IPv4 TCP sockets in a state: local address and port, remote address and port."""
     inodes = set()
     try:
         for entry in os.listdir(f"/proc/{pid}/fd"):
@@ -81,7 +81,7 @@
 
 
 def handles_signal(pid: int, number: int) -> bool:
-    """Whether it has a handler for the signal (proc(5), SigCgt)."""
+    """Return whether a process has a handler for the signal (proc(5), SigCgt)."""
     with suppress(OSError):
         for line in Path(f"/proc/{pid}/status").read_text().splitlines():
             if line.startswith("SigCgt:"):
@@ -90,14 +90,14 @@
 
 
 def waited_s(pid: int) -> float:
-    """Seconds that it was ready to run and had no core (schedstat's second figure)."""
+    """Return for how many seconds a process was runnable without a core (schedstat's second figure)."""
     with suppress(OSError):
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
     return 0.0
 
 
 def cpu_time_s(pid: int) -> float:
-    """Seconds of a core that all of its threads have used."""
+    """Return the CPU seconds that all threads of a process have used."""
     with suppress(OSError):
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -105,19 +105,19 @@
 
 
 class Child:
-    """A process of ours, with a log of what it says."""
+    """A child process, with a log file of what it prints."""
 
     def __init__(self, name: str, folder: Path) -> None:
         self.name, self.folder = name, folder
         self.log = folder / f"{name}.log"
         self.process: asyncio.subprocess.Process | None = None
-        self.life = 0
-        self._orders: socket.socket | None = None
+        self.start_count = 0
+        self._order_socket: socket.socket | None = None
 
     async def start(
         self,
         module: str,
-        *words: str,
+        *arguments: str,
         path: Path | None = None,
         cwd: Path | None = None,
         env: dict[str, str] | None = None,
@@ -125,28 +125,40 @@
         fault_folder: Path | None = None,
         adjustable_clock: bool = False,
     ) -> None:
-        """`path`: the checkout whose code it runs. `faulty`: the folder that its faulty file layer is for;
-        with it, orders can be given through `order`. `bent`: with a clock that orders can bend."""
-        self.life += 1
-        own = ["--parent", str(os.getpid()), "--path", str(path or ROOT)]
-        theirs: socket.socket | None = None
+        """Start `python -m module arguments...`.
+
+        Args:
+            module: The module to run.
+            arguments: Its command line.
+            path: The checkout whose code it runs.
+            cwd: Its working directory; None: the checkout.
+            env: Environment variables beside this process's own.
+            piped: Standard input and output are pipes; else output goes to the log.
+            fault_folder: The folder whose files can get faults. Needed for `order`.
+            adjustable_clock: Orders can change the speed and the time of day of its clock.
+        """
+        self.start_count += 1
+        launcher_arguments = ["--parent", str(os.getpid()), "--path", str(path or ROOT)]
+        child_end: socket.socket | None = None
         if fault_folder is not None:
-            self._drop_orders()
-            self._orders, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-            self._orders.setblocking(False)
-            own += ["--orders", str(theirs.fileno()), "--folder", str(fault_folder)]
-            own += ["--clock", "bent"] if adjustable_clock else []
+            self._close_order_socket()
+            self._order_socket, child_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+            self._order_socket.setblocking(False)
+            launcher_arguments += ["--orders", str(child_end.fileno()), "--folder", str(fault_folder)]
+            launcher_arguments += ["--clock", "bent"] if adjustable_clock else []
         pipe = asyncio.subprocess.PIPE if piped else asyncio.subprocess.DEVNULL
-        kept = {k: v for k, v in os.environ.items() if not k.startswith(("LB_", "PYTHONPATH"))}
+        inherited = {
+            key: value for key, value in os.environ.items() if not key.startswith(("LB_", "PYTHONPATH"))
+        }
         with self.log.open("ab") as out:
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-u", str(INSIDE), *own, "--", module, *words,
+                sys.executable, "-u", str(LAUNCHER), *launcher_arguments, "--", module, *arguments,
                 stdin=pipe, stdout=asyncio.subprocess.PIPE if piped else out, stderr=out,
-                cwd=cwd or path or ROOT, env=kept | (env or {}), limit=MOST_ORDER,
-                pass_fds=() if theirs is None else (theirs.fileno(),),
+                cwd=cwd or path or ROOT, env=inherited | (env or {}), limit=MAX_ORDER_BYTES,
+                pass_fds=() if child_end is None else (child_end.fileno(),),
             )  # fmt: skip
-        if theirs is not None:
-            theirs.close()
+        if child_end is not None:
+            child_end.close()
 
     @property
     def pid(self) -> int:
@@ -157,23 +169,27 @@
         return self.process is not None and self.process.returncode is None
 
     def signal(self, number: int) -> None:
-        """Raises RigError if it has gone: a fault that finds nobody did not happen."""
+        """Send a signal. Raises RigError if the process has ended: then the fault did not happen."""
         if not self.up or self.process is None:
             raise RigError(f"{self.name}: gone before it could get signal {number}")
         self.process.send_signal(number)
 
     async def wait_for_state(self, state: str, within_s: float = 5.0) -> bool:
-        """Is it in that state of proc(5) (T: stopped) in time? `!T`: in any other."""
-        wanted, unlike = state.lstrip("!"), state.startswith("!")
-        end_s = time.monotonic() + within_s
-        while time.monotonic() < end_s:
-            if (process_state(self.pid) == wanted) != unlike:
+        """Wait until the process is in a state of proc(5) (T: stopped), or with `!T` in any other.
+
+        Returns:
+            Whether it got there in time.
+        """
+        letter, negated = state.lstrip("!"), state.startswith("!")
+        deadline_s = time.monotonic() + within_s
+        while time.monotonic() < deadline_s:
+            if (process_state(self.pid) == letter) != negated:
                 return True
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
         return False
 
     async def wait_for_exit(self, within_s: float) -> int | None:
-        """Its exit code; None if it still runs."""
+        """Wait for the end of the process. Return its exit code; None if it still runs."""
         if self.process is None:
             return 0
         with suppress(TimeoutError):
@@ -186,83 +202,90 @@
             with suppress(ProcessLookupError):
                 self.process.kill()
             await self.process.wait()
-        self._drop_orders()
+        self._close_order_socket()
 
     async def wait_until_listening(self, port: int, within_s: float = 30.0) -> tuple[str, int]:
-        """Its address with that port, once the system says that it listens there. Raises RigError if it ends,
-        or does not listen in time."""
-        end_s = time.monotonic() + within_s
-        while time.monotonic() < end_s:
-            for host, known, _, _ in tcp_sockets(self.pid, LISTEN):
-                if known == port:
-                    return host, known
+        """Wait until the process listens on the port, and return that address.
+
+        Raises:
+            RigError: It ends before, or does not listen in time.
+        """
+        deadline_s = time.monotonic() + within_s
+        while time.monotonic() < deadline_s:
+            for host, local_port, _, _ in tcp_sockets(self.pid, LISTEN):
+                if local_port == port:
+                    return host, local_port
             if not self.up:
-                raise RigError(f"{self.name}: ended before it listened: {self.last_line()}")
-            await asyncio.sleep(LOOK_S)
-        raise RigError(f"{self.name}: does not listen after {within_s:g} s")
+                raise RigError(f"{self.name}: ended before it listened on port {port}: {self.last_line()}")
+            await asyncio.sleep(POLL_S)
+        raise RigError(f"{self.name}: does not listen on port {port} after {within_s:g} s")
 
     def last_line(self) -> str:
         with suppress(OSError):
             lines = self.log.read_text(errors="replace").strip().splitlines()
-            return lines[-1][-300:] if lines else "it said nothing"
-        return "it said nothing"
+            return lines[-1][-300:] if lines else "its log is empty"
+        return "its log is empty"
 
     async def order(self, **order: Any) -> Json:
-        """To the layers under it. Raises RigError if nothing answers: a stopped process does not."""
-        if self._orders is None:
-            raise RigError(f"{self.name}: was not started with layers for faults")
+        """Send an order to the process's fault layers (`in_process_faults.py`), and return the answer.
+
+        Raises:
+            RigError: Nothing answers, as when the process is stopped.
+        """
+        if self._order_socket is None:
+            raise RigError(f"{self.name}: started without fault layers")
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(ANSWER_S):
-                await loop.sock_sendall(self._orders, json.dumps(order).encode())
-                said = await loop.sock_recv(self._orders, 65536)
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                await loop.sock_sendall(self._order_socket, json.dumps(order).encode())
+                data = await loop.sock_recv(self._order_socket, 65536)
         except (TimeoutError, OSError) as error:
             raise RigError(f"{self.name}: {order['do']}: no answer ({type(error).__name__})") from None
-        if not said:
-            raise RigError(f"{self.name}: {order['do']}: it has gone")
-        answer: Json = json.loads(said)
+        if not data:
+            raise RigError(f"{self.name}: {order['do']}: the process has ended")
+        answer: Json = json.loads(data)
         return answer
 
-    def _drop_orders(self) -> None:
-        if self._orders is not None:
-            self._orders.close()
-            self._orders = None
+    def _close_order_socket(self) -> None:
+        if self._order_socket is not None:
+            self._order_socket.close()
+            self._order_socket = None
 
 
 class Helper(Child):
-    """One of the drill's own processes (`helper.py`)."""
+    """One of the drill's own processes, which obeys orders (`helper.py`)."""
 
     def __init__(self, name: str, folder: Path) -> None:
         super().__init__(name, folder)
-        self._number = 0
-        self._turn = asyncio.Lock()
+        self._order_number = 0
+        self._lock = asyncio.Lock()
 
     async def begin(self, module: str) -> None:
         await self.start(module, piped=True)
 
     async def ask(self, do: str, **fields: Any) -> Json:
-        """Raises RigError for whatever it answers but success."""
+        """Send an order, and return the answer. Raises RigError for any answer but success, or for none."""
         process = self.process
         if process is None or process.stdin is None or process.stdout is None:
             raise RigError(f"{self.name}: not started")
-        async with self._turn:
-            self._number += 1
-            order = {"n": self._number, "do": do, **fields}
+        async with self._lock:
+            self._order_number += 1
+            order = {"n": self._order_number, "do": do, **fields}
             try:
                 process.stdin.write(json.dumps(order).encode() + b"\n")
-                async with asyncio.timeout(ANSWER_S):
+                async with asyncio.timeout(ANSWER_TIMEOUT_S):
                     line = await process.stdout.readline()
             except (TimeoutError, ConnectionError) as error:
                 raise RigError(f"{self.name}: {do}: no answer ({type(error).__name__})") from None
         if not line:
-            raise RigError(f"{self.name}: {do}: it has ended: {self.last_line()}")
+            raise RigError(f"{self.name}: {do}: the process has ended: {self.last_line()}")
         answer: Json = json.loads(line)
         if not answer["ok"]:
             raise RigError(f"{self.name}: {do}: {answer['why']}")
         return answer
 
     async def end(self) -> None:
-        """By the end of its standard input; by SIGKILL if that is not enough."""
+        """End the process by closing its standard input, or by SIGKILL if that takes too long."""
         if self.process is not None and self.process.stdin is not None:
             self.process.stdin.close()
             if await self.wait_for_exit(3.0) is None:
--- a/client_proxy/fault_injection/command.py
+++ b/client_proxy/fault_injection/command.py
@@ -1,5 +1,7 @@
-"""`client-proxy drill`: run a plan, look for plans that break something, judge a folder again. Needs the
-extra `rig`."""
+"""`client-proxy drill`: run a plan, search for plans that break a rule, judge a drill's folder again.
+
+Needs the extra `rig`.
+"""
 
 from __future__ import annotations
 
@@ -23,111 +25,122 @@
 from client_proxy.fault_injection.scenario_runner import Verdict  # noqa: E402
 from client_proxy.fault_injection.soak.command import soak  # noqa: E402
 
-FILE = click.Path(dir_okay=False, path_type=Path)
-DIR = click.Path(file_okay=False, path_type=Path)
-CODES = {"passed": 0, "failed": 1, "error": 3, "refused": 4}
+FILE_PATH = click.Path(dir_okay=False, path_type=Path)
+FOLDER_PATH = click.Path(file_okay=False, path_type=Path)
+EXIT_CODES = {"passed": 0, "failed": 1, "error": 3, "refused": 4}
 
 
 def new_folder(out: Path | None, name: str) -> Path:
-    """Short: the paths of sockets in it have a bound of 108 bytes."""
+    """Return the path of a new folder for a drill: short, as paths of Unix sockets are at most 108 bytes."""
     parent = out if out is not None else Path(tempfile.mkdtemp(prefix="drill-"))
     return parent / f"{name}-{time.strftime('%H%M%S')}-{time.monotonic_ns() % 1000:03d}"
 
 
 def show(verdict: Verdict, console: Console) -> None:
     table = Table(title=f"{verdict.plan}, seed {verdict.seed}: {verdict.outcome}", show_header=False)
-    tries = ", ".join(f"{n} {ending}" for ending, n in verdict.figures.get("tries", {}).items())
-    asked, served = verdict.figures.get("asked", 0), verdict.figures.get("served", 0)
-    after = verdict.figures.get("whole_after_s")
-    table.add_row("asked, served", f"{asked}, {served} ({served / asked:.4f})" if asked else "nothing")
-    table.add_row("tries", tries)
-    table.add_row("whole again after", "never" if after is None else f"{after:.0f} s")
+    attempts = ", ".join(f"{n} {ending}" for ending, n in verdict.figures.get("tries", {}).items())
+    requests, served = verdict.figures.get("asked", 0), verdict.figures.get("served", 0)
+    restored_s = verdict.figures.get("whole_after_s")
+    table.add_row(
+        "requests, served", f"{requests}, {served} ({served / requests:.4f})" if requests else "nothing"
+    )
+    table.add_row("client attempts", attempts)
+    table.add_row("service restored after", "never" if restored_s is None else f"{restored_s:.0f} s")
     table.add_row("took", f"{verdict.took_s:.1f} s")
     if verdict.why:
         table.add_row("why", verdict.why)
     console.print(table)
-    counted: dict[tuple[str, str], list[str]] = {}
+    breaches_by_rule: dict[tuple[str, str], list[str]] = {}
     for breach in verdict.breaches:
-        counted.setdefault((breach.rule, breach.who), []).append(breach.what)
-    if counted:
-        found = Table("rule", "who", "times", "the first")
-        for (rule, who), what in counted.items():
-            found.add_row(rule, who, str(len(what)), what[0])
-        console.print(found)
+        breaches_by_rule.setdefault((breach.rule, breach.who), []).append(breach.what)
+    if breaches_by_rule:
+        breach_table = Table("rule", "process", "count", "first breach")
+        for (rule, who), examples in breaches_by_rule.items():
+            breach_table.add_row(rule, who, str(len(examples)), examples[0])
+        console.print(breach_table)
 
 
 @click.group("drill")
 def main() -> None:
-    """Real processes with faults between them, and a checker of what clients saw."""
+    """Run real processes under injected faults, and check what their clients saw."""
 
 
 @main.command("run")
-@click.argument("file", type=FILE)
-@click.option("--out", type=DIR, help="Folder for the drill's own; else a new one under the system's.")
-@click.option("--keep", is_flag=True, help="Keep the folder also of a drill that passed.")
-@click.option("--page", type=FILE, help="Draw its lanes there.")
+@click.argument("file", type=FILE_PATH)
+@click.option("--out", type=FOLDER_PATH, help="Parent of the drill's folder; default: a temporary folder.")
+@click.option("--keep", is_flag=True, help="Keep the folder even if the drill passed.")
+@click.option("--page", type=FILE_PATH, help="Write an HTML page with a timeline of the drill there.")
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def run_command(file: Path, out: Path | None, keep: bool, page: Path | None, as_json: bool) -> None:
-    """Play the plan in FILE. Exit code 0: passed; 1: a rule was broken; 3: the drill itself failed; 4: the
-    machine was too busy for a verdict."""
+    """Run the plan in FILE.
+
+    Exit code 0: passed; 1: a rule was broken; 3: the drill itself failed; 4: the machine was too busy for a
+    verdict.
+    """
     if page is not None:
-        told = lacking("--page", "plots", "matplotlib")
-        if told:
-            raise click.UsageError(told)
-    stated = plan.load(file)
+        missing_extra = lacking("--page", "plots", "matplotlib")
+        if missing_extra:
+            raise click.UsageError(missing_extra)
+    drill_plan = plan.load(file)
     console = Console(stderr=True)
-    verdict = asyncio.run(scenario_runner.run(stated, new_folder(out, stated.name), console.print))
+    verdict = asyncio.run(scenario_runner.run(drill_plan, new_folder(out, drill_plan.name), console.print))
     if page is not None:
         from client_proxy.fault_injection.page import draw
 
-        draw(stated, list(history.read(Path(verdict.folder) / "history.jsonl")), verdict, page)
+        draw(drill_plan, list(history.read(Path(verdict.folder) / "history.jsonl")), verdict, page)
     if as_json:
-        click.echo(json.dumps(verdict.told(), indent=1))
+        click.echo(json.dumps(verdict.to_json(), indent=1))
     else:
         show(verdict, Console())
     if verdict.outcome == "passed" and not keep:
-        scenario_runner.clear(Path(verdict.folder))
+        scenario_runner.remove_folder(Path(verdict.folder))
     else:
-        console.print(f"kept: {verdict.folder}")
-    sys.exit(CODES[verdict.outcome])
+        console.print(f"drill folder kept: {verdict.folder}")
+    sys.exit(EXIT_CODES[verdict.outcome])
 
 
 @main.command("replay")
-@click.argument("folder", type=DIR)
-@click.option("--play", is_flag=True, help="Play its plan again, in place of judging its history again.")
-@click.option("--page", type=FILE, help="Draw its lanes there.")
+@click.argument("folder", type=FOLDER_PATH)
+@click.option("--play", is_flag=True, help="Run its plan again instead of judging its history again.")
+@click.option("--page", type=FILE_PATH, help="Write an HTML page with a timeline of the drill there.")
 def replay(folder: Path, play: bool, page: Path | None) -> None:
-    """Judge the history in FOLDER by this version's rules; with --play, play its plan again."""
-    stated = plan.load(folder / "plan.toml")
+    """Judge the history in FOLDER by the rules of this version; with --play, run its plan again."""
+    drill_plan = plan.load(folder / "plan.toml")
     try:
         if play:
-            verdict = asyncio.run(scenario_runner.run(stated, new_folder(None, stated.name)))
+            verdict = asyncio.run(scenario_runner.run(drill_plan, new_folder(None, drill_plan.name)))
         else:
-            verdict = scenario_runner.again(folder)
+            verdict = scenario_runner.judge_folder(folder)
     except (ValueError, KeyError) as error:
-        raise click.ClickException(f"{folder}: not the folder of a drill: {error}") from None
+        raise click.ClickException(
+            f"{folder}: not a drill's folder (plan.toml, verdict.json, history.jsonl): {error}"
+        ) from None
     if page is not None:
         from client_proxy.fault_injection.page import draw
 
-        draw(stated, list(history.read(Path(verdict.folder) / "history.jsonl")), verdict, page)
+        draw(drill_plan, list(history.read(Path(verdict.folder) / "history.jsonl")), verdict, page)
     show(verdict, Console())
-    sys.exit(CODES[verdict.outcome])
+    sys.exit(EXIT_CODES[verdict.outcome])
 
 
 @main.command("explore")
-@click.argument("file", type=FILE)
-@click.option("--rounds", default=20, help="Plans to draw from FILE's fleet.")
-@click.option("--seed", default=1, help="Of the first; the next have the next numbers.")
-@click.option("--out", type=DIR, required=True, help="Where failing plans and their folders are kept.")
-@click.option("--jobs", default=1, help="Drills at a time; each takes two cores and more.")
-@click.option("--shrink/--no-shrink", default=True, help="Find the fewest faults that still break it.")
+@click.argument("file", type=FILE_PATH)
+@click.option("--rounds", default=20, help="Number of random plans to run.")
+@click.option("--seed", default=1, help="Seed of the first plan; each further plan has the next number.")
+@click.option("--out", type=FOLDER_PATH, required=True, help="Folder for failing plans and their drills.")
+@click.option("--jobs", default=1, help="Drills that run at the same time; each needs two cores or more.")
+@click.option(
+    "--shrink/--no-shrink",
+    default=True,
+    help="Minimize a failing plan to the fewest faults that still break the rule.",
+)
 def explore_command(file: Path, rounds: int, seed: int, out: Path, jobs: int, shrink: bool) -> None:
-    """Play random plans on the fleet that FILE states. Exit code 1 if one broke a rule."""
+    """Run random plans on the fleet that FILE describes. Exit code 1 if one broke a rule."""
     base = plan.load(file)
     out.mkdir(parents=True, exist_ok=True)
-    found = asyncio.run(_explore(base, range(seed, seed + rounds), out, jobs, shrink))
+    verdicts = asyncio.run(_explore(base, range(seed, seed + rounds), out, jobs, shrink))
     outcomes: dict[str, int] = {}
-    for verdict in found:
+    for verdict in verdicts:
         outcomes[verdict.outcome] = outcomes.get(verdict.outcome, 0) + 1
     click.echo(json.dumps({"rounds": rounds, "outcomes": outcomes}))
     sys.exit(1 if outcomes.get("failed") else 0)
@@ -135,36 +148,36 @@
 
 async def _explore(base: plan.Plan, seeds: range, out: Path, jobs: int, shrink: bool) -> list[Verdict]:
     console = Console(stderr=True)
-    left = list(seeds)
-    found: list[Verdict] = []
+    remaining_seeds = list(seeds)
+    verdicts: list[Verdict] = []
 
-    async def rules(drawn: plan.Plan) -> list[str]:
-        verdict = await scenario_runner.run(drawn, new_folder(out, drawn.name))
-        scenario_runner.clear(Path(verdict.folder))
+    async def rules(random_plan: plan.Plan) -> list[str]:
+        verdict = await scenario_runner.run(random_plan, new_folder(out, random_plan.name))
+        scenario_runner.remove_folder(Path(verdict.folder))
         return verdict.rules() if verdict.outcome == "failed" else [verdict.outcome]
 
     with Progress(console=console) as progress:
         task = progress.add_task("plans", total=len(seeds))
 
-        async def work() -> None:
-            while left:
-                drawn = explore.draw(base, left.pop(0))
-                verdict = await scenario_runner.run(drawn, new_folder(out, drawn.name))
-                found.append(verdict)
+        async def run_plans() -> None:
+            while remaining_seeds:
+                random_plan = explore.draw_plan(base, remaining_seeds.pop(0))
+                verdict = await scenario_runner.run(random_plan, new_folder(out, random_plan.name))
+                verdicts.append(verdict)
                 with (out / "found.jsonl").open("a") as file:
-                    file.write(json.dumps(verdict.told()) + "\n")
+                    file.write(json.dumps(verdict.to_json()) + "\n")
                 if verdict.outcome == "passed":
-                    scenario_runner.clear(Path(verdict.folder))
+                    scenario_runner.remove_folder(Path(verdict.folder))
                 else:
-                    progress.console.print(f"{drawn.name}: {verdict.outcome}: {verdict.why}")
+                    progress.console.print(f"{random_plan.name}: {verdict.outcome}: {verdict.why}")
                 if verdict.outcome == "failed" and shrink:
-                    small = await explore.shrink(drawn, verdict.rules()[0], rules)
-                    text = plan.format_plan(small.plan)
-                    (out / f"{drawn.name}-{small.rule}.toml").write_text(text)
+                    minimized = await explore.minimize(random_plan, verdict.rules()[0], rules)
+                    text = plan.format_plan(minimized.plan)
+                    (out / f"{random_plan.name}-{minimized.rule}.toml").write_text(text)
                 progress.advance(task)
 
-        await asyncio.gather(*(work() for _ in range(jobs)))
-    return found
+        await asyncio.gather(*(run_plans() for _ in range(jobs)))
+    return verdicts
 
 
 main.add_command(soak)
--- a/client_proxy/fault_injection/cpu_hog.py
+++ b/client_proxy/fault_injection/cpu_hog.py
@@ -1,4 +1,4 @@
-"""A busy neighbour: takes all that it gets of one core until it is killed, or for ten minutes."""
+"""Keeps one core busy until it is killed, at most ten minutes; the core's number is its argument."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import sys
 import time
 
-MOST_S = 600.0
+MAX_RUN_S = 600.0  # in case nobody kills it
 
 
 def main() -> None:
     os.sched_setaffinity(0, {int(sys.argv[1])})
-    end_s = time.monotonic() + MOST_S
+    end_s = time.monotonic() + MAX_RUN_S
     while time.monotonic() < end_s:
         pass
 
--- a/client_proxy/fault_injection/discovery.py
+++ b/client_proxy/fault_injection/discovery.py
@@ -1,4 +1,4 @@
-"""The emulator's discovery as a process of a drill, for instances of the `run` line."""
+"""The emulator's discovery service as a process of a drill, for instances started by the platform's line."""
 
 from __future__ import annotations
 
@@ -10,58 +10,63 @@
 from client_proxy.emulator.event_log import Notification
 from client_proxy.emulator.listeners import SocketListener
 from client_proxy.emulator.registry import Registry
-from client_proxy.emulator.scenario_reader import parse_scenario as read_day
+from client_proxy.emulator.scenario_reader import parse_scenario as parse_scenario
 from client_proxy.fault_injection.helper import Json, Order, serve
 from client_proxy.fault_injection.history import Writer
 
 
-class Tolds(list[Notification]):
-    """Writes down what was told, and keeps none of it."""
+class NotificationLog(list[Notification]):
+    """A list that writes each notification to the history in place of keeping it."""
 
     def __init__(self, writer: Writer) -> None:
         super().__init__()
         self._writer = writer
 
-    def append(self, told: Notification) -> None:
+    def append(self, notification: Notification) -> None:
         self._writer.write(
-            "told", told.at_s, instance=f"i{told.proxy}", server=told.server, status=told.status
+            "told",
+            notification.at_s,
+            instance=f"i{notification.proxy}",
+            server=notification.server,
+            status=notification.status,
         )
 
 
-def orders() -> dict[str, Order]:
-    made: dict[str, Any] = {}
+def make_handlers() -> dict[str, Order]:
+    state: dict[str, Any] = {}
 
     async def begin(order: Json) -> Json:
-        """`doors`: by server, the address for each instance."""
+        """Start the service. `doors` in the order: by server, the address for each instance."""
         loop = asyncio.get_running_loop()
-        day = read_day(order["day"], "fleet")
+        scenario = parse_scenario(order["day"], "fleet")
         writer = Writer(Path(order["history"]))
         servers = {
             spec.name: SimpleNamespace(
-                spec=spec, listeners=[SimpleNamespace(address=tuple(a)) for a in order["doors"][spec.name]]
+                spec=spec,
+                listeners=[SimpleNamespace(address=tuple(address)) for address in order["doors"][spec.name]],
             )
-            for spec in day.servers()
+            for spec in scenario.servers()
         }
-        # What the registry needs of a stage, and no more.
-        stage: Any = SimpleNamespace(
-            scenario=day,
+        # Only what the registry uses of a simulation.
+        simulation: Any = SimpleNamespace(
+            scenario=scenario,
             loop=loop,
             servers=servers,
-            event_log=SimpleNamespace(notifications=Tolds(writer)),
+            event_log=SimpleNamespace(notifications=NotificationLog(writer)),
             new_listener=lambda factory: SocketListener(loop, factory, (order["host"], 0)),
         )
-        registry = made["registry"] = Registry(stage)
+        registry = state["registry"] = Registry(simulation)
         registry.prepare()
         for name in servers:
             registry.publish(name, "ready", 0)
         registry.start()
-        return {"doors": [list(door.address) for door in registry.listeners]}
+        return {"doors": [list(listener.address) for listener in registry.listeners]}
 
     async def put(order: Json) -> None:
-        made["registry"].publish(order["server"], order["status"], order.get("since_ms", 0))
+        state["registry"].publish(order["server"], order["status"], order.get("since_ms", 0))
 
     return {"begin": begin, "put": put}
 
 
 if __name__ == "__main__":
-    serve(orders)
+    serve(make_handlers)
--- a/client_proxy/fault_injection/fault_proxy.py
+++ b/client_proxy/fault_injection/fault_proxy.py
@@ -1,10 +1,11 @@
-"""The wires between processes: relays of the drill's, each for one pair, with what can befall them.
+"""The fault proxy: TCP relays between the processes of a drill, each for one pair, that can inject faults.
 
-A relay shows silence either way or both, resets, delay and a trickle, of open connections and of new ones. A
-silent wire also lets no dial come up: its door stops accepting and fills its own queue
-(`emulator/listeners.py`). What it can't show: loss below TCP, a half of a connection that forgets the other,
-a changed address. What is silent is kept and goes on when the wire is whole, as TCP's own repeats would have
-it; kept bytes are bounded, and beyond the bound the sender is made to wait, as by a full window."""
+The faults are silence in one direction or both, resets, delay and a limited rate, for open and for new
+connections. On a silent link no dial completes either: its listener stops accepting, and its accept queue
+fills up (`emulator/listeners.py`). Not covered: loss below TCP, half-open connections and a changed address.
+Silenced bytes are buffered and sent when the silence ends, as TCP's retransmissions would deliver them; the
+buffer is bounded, and at its bound the relay stops reading from the sender, as with a full window.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +16,13 @@
 from client_proxy.emulator.listeners import SocketListener, reset_connection
 from client_proxy.fault_injection.helper import Json, Order, serve
 
-MOST_KEPT = 256 * 1024  # bytes of one connection in one direction
-CHUNK = 512  # of a trickle
-THERE, BACK = 0, 1
+MAX_BUFFERED_BYTES = 256 * 1024  # bytes buffered for one direction of one connection before reading pauses
+CHUNK_BYTES = 512  # bytes that are sent at once at a limited rate
+FORWARD, BACKWARD = 0, 1  # direction from the process that dials, and towards it
 
 
-class Way:
-    """One direction of a link."""
+class Direction:
+    """The faults of one direction of a link, and counts of the bytes that they affected."""
 
     def __init__(self) -> None:
         self.silent = False
@@ -30,224 +31,232 @@
         self.counts: Counter[str] = Counter()
 
 
-class Flow:
-    """What one end of a connection sends to the other."""
+class Stream:
+    """The bytes of one connection in one direction."""
 
-    def __init__(self, way: Way) -> None:
-        self.way = way
+    def __init__(self, direction: Direction) -> None:
+        self.direction = direction
         self.source: Any = None
         self.sink: Any = None
-        self._kept: deque[tuple[float, bytes | None]] = deque()  # None: the end
-        self._size = 0
-        self._free_s = 0.0  # when the trickle lets the next chunk through
+        # The time at which bytes are due, and the bytes; None: the end of the stream.
+        self._buffered: deque[tuple[float, bytes | None]] = deque()
+        self._buffered_bytes = 0
+        self._next_send_s = 0.0  # time at which the limited rate allows the next chunk
         self._timer: asyncio.TimerHandle | None = None
-        self._paused = False
-        self.full = False  # its sink takes no more for now
+        self._reading_paused = False
+        self.sink_full = False  # the sink has paused writing
 
-    def come(self, data: bytes | None) -> None:
+    def receive(self, data: bytes | None) -> None:
         loop = asyncio.get_running_loop()
-        if data is not None and self.way.bytes_per_s:
-            for start in range(0, len(data), CHUNK):
-                self._kept.append((loop.time() + self.way.delay_s, data[start : start + CHUNK]))
+        if data is not None and self.direction.bytes_per_s:
+            for start in range(0, len(data), CHUNK_BYTES):
+                self._buffered.append(
+                    (loop.time() + self.direction.delay_s, data[start : start + CHUNK_BYTES])
+                )
         else:
-            self._kept.append((loop.time() + self.way.delay_s, data))
-        self._size += len(data or b"")
-        if self.way.silent:
-            self.way.counts["held"] += len(data or b"") or 1
-        if self._size > MOST_KEPT and not self._paused and self.source is not None:
-            self._paused = True
+            self._buffered.append((loop.time() + self.direction.delay_s, data))
+        self._buffered_bytes += len(data or b"")
+        if self.direction.silent:
+            self.direction.counts["held"] += len(data or b"") or 1
+        if self._buffered_bytes > MAX_BUFFERED_BYTES and not self._reading_paused and self.source is not None:
+            self._reading_paused = True
             self.source.pause_reading()
-        self.go()
+        self.send_due()
 
-    def go(self) -> None:
-        """Pass on what is due."""
+    def send_due(self) -> None:
+        """Send the bytes that are due to the other end."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         loop = asyncio.get_running_loop()
-        while self._kept and not self.way.silent and not self.full and self.sink is not None:
-            due_s, data = self._kept[0]
-            due_s = max(due_s, self._free_s)
+        while self._buffered and not self.direction.silent and not self.sink_full and self.sink is not None:
+            due_s, data = self._buffered[0]
+            due_s = max(due_s, self._next_send_s)
             if due_s > loop.time():
-                self._timer = loop.call_at(due_s, self.go)
+                self._timer = loop.call_at(due_s, self.send_due)
                 break
-            self._kept.popleft()
+            self._buffered.popleft()
             if data is None:
                 self.sink.close()
                 return
-            if self.way.bytes_per_s:
-                self._free_s = loop.time() + len(data) / self.way.bytes_per_s
-                self.way.counts["trickled"] += len(data)
-            if self.way.delay_s:
-                self.way.counts["delayed"] += len(data)
-            self._size -= len(data)
-            self.way.counts["passed"] += len(data)
+            if self.direction.bytes_per_s:
+                self._next_send_s = loop.time() + len(data) / self.direction.bytes_per_s
+                self.direction.counts["trickled"] += len(data)
+            if self.direction.delay_s:
+                self.direction.counts["delayed"] += len(data)
+            self._buffered_bytes -= len(data)
+            self.direction.counts["passed"] += len(data)
             self.sink.write(data)
-        if self._paused and self._size <= MOST_KEPT and self.source is not None:
-            self._paused = False
+        if self._reading_paused and self._buffered_bytes <= MAX_BUFFERED_BYTES and self.source is not None:
+            self._reading_paused = False
             self.source.resume_reading()
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._kept.clear()
+        self._buffered.clear()
 
 
 class End(asyncio.Protocol):
-    """One of the two ends of a relayed connection."""
+    """The relay's connection to one of the two processes."""
 
-    def __init__(self, pair: Pair, sends: Flow, gets: Flow) -> None:
-        self._pair, self._sends, self._gets = pair, sends, gets
+    def __init__(self, relayed: RelayedConnection, outgoing: Stream, incoming: Stream) -> None:
+        self._relayed, self._outgoing, self._incoming = relayed, outgoing, incoming
         self.transport: Any = None
 
     def connection_made(self, transport: Any) -> None:
-        self.transport = self._sends.source = self._gets.sink = transport
-        if self._pair.dead:
-            self._pair.reset()
+        self.transport = self._outgoing.source = self._incoming.sink = transport
+        if self._relayed.reset_done:
+            self._relayed.reset()
         else:
-            self._gets.go()
+            self._incoming.send_due()
 
     def data_received(self, data: bytes) -> None:
-        self._sends.come(data)
+        self._outgoing.receive(data)
 
     def pause_writing(self) -> None:
-        self._gets.full = True
+        self._incoming.sink_full = True
 
     def resume_writing(self) -> None:
-        self._gets.full = False
-        self._gets.go()
+        self._incoming.sink_full = False
+        self._incoming.send_due()
 
     def eof_received(self) -> bool:
-        self._sends.come(None)
+        self._outgoing.receive(None)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._sends.source = self._gets.sink = None
-        self._gets.drop()
+        self._outgoing.source = self._incoming.sink = None
+        self._incoming.discard()
         if exc is not None:
-            self._pair.reset()
+            self._relayed.reset()
         else:
-            self._sends.come(None)
-        self._pair.lost(self)
+            self._outgoing.receive(None)
+        self._relayed.end_closed(self)
 
 
-class Pair:
-    """A connection through a link."""
+class RelayedConnection:
+    """A relayed connection: the one that a process opened to the relay, and the relay's own."""
 
     def __init__(self, link: Link) -> None:
         self._link = link
-        self.there, self.back = Flow(link.ways[THERE]), Flow(link.ways[BACK])
-        self.near = End(self, self.there, self.back)
-        self.far = End(self, self.back, self.there)
-        self._dial: asyncio.Task[None] | None = None
-        self._over = 0
-        self.dead = False  # reset: an end that comes up later is reset too
-
-    def accepted(self) -> asyncio.Protocol:
-        self._link.pairs[self] = None
+        self.forward_stream, self.backward_stream = (
+            Stream(link.directions[FORWARD]),
+            Stream(link.directions[BACKWARD]),
+        )
+        self.dialler_end = End(self, self.forward_stream, self.backward_stream)
+        self.target_end = End(self, self.backward_stream, self.forward_stream)
+        self._dial_task: asyncio.Task[None] | None = None
+        self._ended_count = 0
+        self.reset_done = False  # reset; an end that is connected later is reset too
+
+    def accept(self) -> asyncio.Protocol:
+        self._link.connections[self] = None
         self._link.counts["dials"] += 1
-        if self._link.resets:
+        if self._link.resetting:
             self._link.counts["reset"] += 1
-            self.dead = True
+            self.reset_done = True
         else:
-            self._dial = asyncio.get_running_loop().create_task(self._connect())
-        return self.near
+            self._dial_task = asyncio.get_running_loop().create_task(self._connect())
+        return self.dialler_end
 
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
         try:
-            await loop.create_connection(lambda: self.far, *self._link.to)
+            await loop.create_connection(lambda: self.target_end, *self._link.to)
         except OSError:
             self._link.counts["refused"] += 1
             self.reset()
 
     def reset(self) -> None:
-        """Both ends see a reset, as of a process that died."""
-        self.dead = True
-        for end in (self.near, self.far):
+        """Reset both ends, as the kernel does for a process that died."""
+        self.reset_done = True
+        for end in (self.dialler_end, self.target_end):
             if end.transport is not None and not end.transport.is_closing():
                 reset_connection(end.transport)
                 end.transport.abort()
-        if self.far.transport is None:
-            self._link.pairs.pop(self, None)
+        if self.target_end.transport is None:
+            self._link.connections.pop(self, None)
 
-    def lost(self, end: End) -> None:
-        self._over += 1
-        if self._over == 2 or self.far.transport is None:
-            self._link.pairs.pop(self, None)
+    def end_closed(self, end: End) -> None:
+        self._ended_count += 1
+        if self._ended_count == 2 or self.target_end.transport is None:
+            self._link.connections.pop(self, None)
 
 
 class Link:
-    """From one process to another: who dials it is relayed to `to`."""
+    """The relay from one process to another: its listener forwards connections to `to`."""
 
     def __init__(self, host: str, to: tuple[str, int]) -> None:
         self.to = to
-        self.ways = (Way(), Way())
-        self.resets = self.closed = False
-        self.was_reset = 0  # before the last order
-        self.pairs: dict[Pair, None] = {}
+        self.directions = (Direction(), Direction())
+        self.resetting = self.refusing = False
+        self.resets_before = 0  # connections reset before the last order
+        self.connections: dict[RelayedConnection, None] = {}
         self.counts: Counter[str] = Counter()
         loop = asyncio.get_running_loop()
-        self.door = SocketListener(loop, lambda: Pair(self).accepted(), (host, 0))
-        self.door.open()
+        self.listener = SocketListener(loop, lambda: RelayedConnection(self).accept(), (host, 0))
+        self.listener.open()
 
-    def set(self, order: Json) -> None:
-        self.was_reset = self.counts["reset"]
-        for side, way in zip(("there", "back"), self.ways, strict=True):
+    def set_faults(self, order: Json) -> None:
+        self.resets_before = self.counts["reset"]
+        for side, direction in zip(("there", "back"), self.directions, strict=True):
             if side in order["sides"]:
-                way.silent = order["mode"] == "silent"
-                way.delay_s = order["ms"] / 1000.0 if order["mode"] == "delay" else 0.0
-                way.bytes_per_s = order["bytes_per_s"] if order["mode"] == "trickle" else 0.0
-        self.resets = order["mode"] == "reset"
-        self.closed = self.closed or order["mode"] == "closed"
-        if self.resets:
-            self.counts["reset"] += len(self.pairs)
-            for pair in list(self.pairs):
-                pair.reset()
-        self._stand()
-        for pair in list(self.pairs):
-            pair.there.go()
-            pair.back.go()
-
-    def aim(self, to: tuple[str, int]) -> None:
-        """Who is behind it listens there now."""
-        self.to, self.closed = to, False
-        self._stand()
-
-    def _stand(self) -> None:
-        if self.closed:
-            # Nobody listens behind it: a dial is refused, as by the system of a process that died.
-            self.door.close()
+                direction.silent = order["mode"] == "silent"
+                direction.delay_s = order["ms"] / 1000.0 if order["mode"] == "delay" else 0.0
+                direction.bytes_per_s = order["bytes_per_s"] if order["mode"] == "trickle" else 0.0
+        self.resetting = order["mode"] == "reset"
+        self.refusing = self.refusing or order["mode"] == "closed"
+        if self.resetting:
+            self.counts["reset"] += len(self.connections)
+            for relayed in list(self.connections):
+                relayed.reset()
+        self._update_listener()
+        for relayed in list(self.connections):
+            relayed.forward_stream.send_due()
+            relayed.backward_stream.send_due()
+
+    def retarget(self, to: tuple[str, int]) -> None:
+        """Change the target, whose process has been started again and listens there."""
+        self.to, self.refusing = to, False
+        self._update_listener()
+
+    def _update_listener(self) -> None:
+        if self.refusing:
+            # The target has ended: the kernel refuses a dial, as it would at a dead process's address.
+            self.listener.close()
             return
-        self.door.open()
-        if any(way.silent for way in self.ways):
-            self.door.hold()  # a dial needs both directions
+        self.listener.open()
+        if any(direction.silent for direction in self.directions):
+            self.listener.hold()  # a TCP handshake needs both directions
 
-    def told(self) -> Json:
-        sides = dict(zip(("there", "back"), (dict(way.counts) for way in self.ways), strict=True))
-        more = {"open": len(self.pairs), "was_reset": self.was_reset}
-        return {"counts": dict(self.counts), **more, **sides}
+    def summary(self) -> Json:
+        sides = dict(
+            zip(("there", "back"), (dict(direction.counts) for direction in self.directions), strict=True)
+        )
+        totals = {"open": len(self.connections), "was_reset": self.resets_before}
+        return {"counts": dict(self.counts), **totals, **sides}
 
 
-def orders() -> dict[str, Order]:
+def make_handlers() -> dict[str, Order]:
     links: dict[str, Link] = {}
 
     async def link(order: Json) -> Json:
-        made = links[order["id"]] = Link(order["host"], tuple(order["to"]))
-        return {"address": list(made.door.address)}
+        new_link = links[order["id"]] = Link(order["host"], tuple(order["to"]))
+        return {"address": list(new_link.listener.address)}
 
-    async def aim(order: Json) -> None:
-        links[order["id"]].aim(tuple(order["to"]))
+    async def retarget(order: Json) -> None:
+        links[order["id"]].retarget(tuple(order["to"]))
 
-    async def way(order: Json) -> Json:
-        links[order["id"]].set(order)
-        return links[order["id"]].told()
+    async def set_faults(order: Json) -> Json:
+        links[order["id"]].set_faults(order)
+        return links[order["id"]].summary()
 
     async def count(order: Json) -> Json:
-        return {"links": {id_: links[id_].told() for id_ in order["ids"]}}
+        return {"links": {id_: links[id_].summary() for id_ in order["ids"]}}
 
-    return {"link": link, "aim": aim, "way": way, "count": count}
+    return {"link": link, "aim": retarget, "way": set_faults, "count": count}
 
 
 if __name__ == "__main__":
-    serve(orders)
+    serve(make_handlers)
--- a/client_proxy/fault_injection/faults.py
+++ b/client_proxy/fault_injection/faults.py
@@ -1,7 +1,8 @@
-"""Carries out the faults of a plan, and brings the proof that each of them happened.
+"""Injects the faults of a plan, ends them, and collects evidence that each of them happened.
 
-A fault has a beginning, perhaps a way back, and evidence from both of its ends; one that left no trace is the
-drill's error and never a pass: a checker that saw no fault has checked nothing."""
+A fault that left no trace is an error of the drill and never a pass, since a check that saw no fault has
+checked nothing.
+"""
 
 from __future__ import annotations
 
@@ -24,124 +25,130 @@
     waited_s,
 )
 from client_proxy.fault_injection.fleet import Fleet
-from client_proxy.fault_injection.plan import OF_AGREEMENT, OF_DATAGRAMS, OF_DISKS, OF_WIRES, FaultTable
+from client_proxy.fault_injection.plan import (
+    AGREEMENT_KINDS,
+    DATAGRAM_KINDS,
+    DISK_KINDS,
+    LINK_KINDS,
+    FaultTable,
+)
 
-Seen = dict[str, Any]
-SAMPLE_S = 0.05
-CLOCK_ERROR = 0.02  # of a rate, as measured over the fault
-SPINNERS = 3
-DIES_S = 10.0
-DEADLY = ("torn", "die-at", "die-after")  # the process dies by itself, at a step of its own
-LAYERED = ("full", "read-only", "slow-disk", *DEADLY)
+Json = dict[str, Any]
+SAMPLE_S = 0.05  # between two reads of a process's sockets or log
+CLOCK_ERROR = 0.02  # largest difference between a clock's stated rate and the one measured over the fault
+SPINNER_COUNT = 3  # processes that compete for the core of a `busy` instance
+DEATH_TIMEOUT_S = 10.0  # longest wait for the end of a process or for its log line
+SELF_KILL_KINDS = ("torn", "die-at", "die-after")  # kinds at which the process kills itself at a given step
+LAYER_KINDS = ("full", "read-only", "slow-disk", *SELF_KILL_KINDS)
 
 
 class Fault:
-    """One fault of the plan, on all that it names."""
+    """One fault of the plan, on all processes that it names."""
 
-    def __init__(self, fleet: Fleet, number: int, stated: FaultTable) -> None:
-        self.fleet, self.number, self.stated = fleet, number, stated
+    def __init__(self, fleet: Fleet, number: int, spec: FaultTable) -> None:
+        self.fleet, self.number, self.spec = fleet, number, spec
         self.begin_s = self.end_s = 0.0
-        self.seen: Seen = {}
-        self._before: Seen = {}
-        self._sampling: asyncio.Task[None] | None = None
+        self.evidence: Json = {}
+        self._before: Json = {}
+        self._sampling_task: asyncio.Task[None] | None = None
         self._spinners: list[Child] = []
 
-    # The two moments
+    # Begin and end
 
     async def begin(self) -> None:
-        kind = self.stated.kind
+        kind = self.spec.kind
         self.begin_s = time.monotonic()
         if kind in ("kill", "term", "stop"):
-            await self._each(self._signal)
-        elif kind in OF_WIRES:
-            await self._wires(kind)
-        elif kind in OF_AGREEMENT:
-            await self._each(self._change)
-        elif kind in OF_DATAGRAMS or kind == "clock" or kind in LAYERED:
-            await self._each(self._layer)
+            await self._for_each_victim(self._send_signal)
+        elif kind in LINK_KINDS:
+            await self._break_links(kind)
+        elif kind in AGREEMENT_KINDS:
+            await self._for_each_victim(self._propose_changes)
+        elif kind in DATAGRAM_KINDS or kind == "clock" or kind in LAYER_KINDS:
+            await self._for_each_victim(self._arm_layer)
         elif kind == "lost-disk":
-            await self._each(self._lose)
+            await self._for_each_victim(self._delete_disk)
         elif kind in ("list", "spoilt-list"):
-            await self._each(self._list)
+            await self._for_each_victim(self._replace_list)
         elif kind == "rotate":
-            await self._each(self._rotate)
+            await self._for_each_victim(self._rotate_keys)
         elif kind == "bad-start":
-            await self._each(self._bad_start)
+            await self._for_each_victim(self._bad_start)
         elif kind == "busy":
-            await self._each(self._busy)
+            await self._for_each_victim(self._occupy_core)
         self.begun_s = time.monotonic()
 
-    async def put_right(self) -> None:
-        """Raises RigError if what was done left no trace."""
-        kind = self.stated.kind
-        if kind in DEADLY:
-            await self._each(self._late_death)
-        if kind in ("kill", "term", "lost-disk", "bad-start", *DEADLY):
-            await self._each(self._come_back)
+    async def revert(self) -> None:
+        """End the fault. Raises RigError if it left no trace."""
+        kind = self.spec.kind
+        if kind in SELF_KILL_KINDS:
+            await self._for_each_victim(self._expect_death)
+        if kind in ("kill", "term", "lost-disk", "bad-start", *SELF_KILL_KINDS):
+            await self._for_each_victim(self._restart)
         elif kind == "stop":
-            await self._each(self._go_on)
-        elif kind in OF_WIRES:
-            await self._whole_wires(kind)
-        elif kind in OF_DATAGRAMS or kind == "clock" or kind in LAYERED:
-            await self._each(self._layer_off)
+            await self._for_each_victim(self._resume)
+        elif kind in LINK_KINDS:
+            await self._repair_links(kind)
+        elif kind in DATAGRAM_KINDS or kind == "clock" or kind in LAYER_KINDS:
+            await self._for_each_victim(self._disarm_layer)
         elif kind == "busy":
-            await self._each(self._idle)
+            await self._for_each_victim(self._free_core)
         self.end_s = time.monotonic()
 
-    async def _each(self, act: Callable[[str], Awaitable[None]]) -> None:
-        for name in self.stated.who:
-            await act(name)
+    async def _for_each_victim(self, action: Callable[[str], Awaitable[None]]) -> None:
+        for name in self.spec.who:
+            await action(name)
 
-    def _note(self, name: str, **seen: Any) -> None:
-        self.seen.setdefault(name, {}).update(seen)
+    def _add_evidence(self, name: str, **evidence: Any) -> None:
+        self.evidence.setdefault(name, {}).update(evidence)
 
-    def _unseen(self, name: str, why: str) -> RigError:
-        return RigError(f"fault {self.number} ({self.stated.named()}) did not happen at {name}: {why}")
+    def _not_happened(self, name: str, why: str) -> RigError:
+        return RigError(f"fault {self.number} ({self.spec.label()}) did not happen at {name}: {why}")
 
     # Processes
 
-    async def _signal(self, name: str) -> None:
-        kind = self.stated.kind
-        child = self.fleet.named(name)
+    async def _send_signal(self, name: str) -> None:
+        kind = self.spec.kind
+        child = self.fleet.child(name)
         if kind != "stop":
             self.fleet.ended_by_plan.add(name)
-        # Said before it is done: an answer in between must not look like one of a process that is well.
-        self.fleet.say_state(name, {"kill": "killed", "term": "ending", "stop": "stopping"}[kind])
+        # Recorded before the signal: an answer in between must not count as one of a healthy process.
+        self.fleet.record_state(name, {"kill": "killed", "term": "ending", "stop": "stopping"}[kind])
         child.signal(stop_signal(kind))
         if kind == "stop":
             if not await child.wait_for_state("T"):
-                raise self._unseen(name, "not stopped")
-            self._note(name, state="T")
-            self.fleet.say_state(name, "stopped")
+                raise self._not_happened(name, "not stopped")
+            self._add_evidence(name, state="T")
+            self.fleet.record_state(name, "stopped")
             return
-        code = await child.wait_for_exit(DIES_S + self.fleet.plan.load.deadline_ms / 1000.0)
+        code = await child.wait_for_exit(DEATH_TIMEOUT_S + self.fleet.plan.load.deadline_ms / 1000.0)
         if code is None:
-            self.fleet.say_state(name, "hangs")
+            self.fleet.record_state(name, "hangs")
             await child.kill()
             code = child.process.returncode if child.process else None
-        self._note(name, code=code)
+        self._add_evidence(name, code=code)
         if kind == "kill" and code != -9:
-            raise self._unseen(name, f"it had ended by itself with {code}")
-        await self.fleet.close_doors(name)
-        self.fleet.say_state(name, "ended", code=code)
+            raise self._not_happened(name, f"it had already ended by itself with exit code {code}")
+        await self.fleet.refuse_dials(name)
+        self.fleet.record_state(name, "ended", code=code)
 
-    async def _go_on(self, name: str) -> None:
-        child = self.fleet.named(name)
+    async def _resume(self, name: str) -> None:
+        child = self.fleet.child(name)
         if not await child.wait_for_state("T", 0.0) and not child.up:
-            raise self._unseen(name, "it ended while it was stopped")
-        self.fleet.say_state(name, "going")
+            raise self._not_happened(name, "it ended while it was stopped")
+        self.fleet.record_state(name, "going")
         child.signal(signal.SIGCONT)
         if not await child.wait_for_state("!T"):
-            raise self._unseen(name, "it did not go on")
+            raise self._not_happened(name, "it did not continue after SIGCONT")
 
-    async def _come_back(self, name: str) -> None:
+    async def _restart(self, name: str) -> None:
         fleet = self.fleet
-        if self.stated.fresh:
-            fleet.lose_folder(name)
-        if self.stated.future:
-            self._note(name, kept=fleet.future_folder(name))
-        if self.stated.anew:
-            self._note(name, memory=fleet.new_memory(name))
+        if self.spec.fresh:
+            fleet.delete_kept_folder(name)
+        if self.spec.future:
+            self._add_evidence(name, kept=fleet.store_unknown_version(name))
+        if self.spec.anew:
+            self._add_evidence(name, memory=fleet.renew_storage_id(name))
         if name in fleet.racks:
             await fleet.start_rack(name, cold=True)
         elif name == "d":
@@ -151,209 +158,215 @@
             await fleet.wait_for_instance(name)
         fleet.ended_by_plan.discard(name)
 
-    async def _late_death(self, name: str) -> None:
-        child = self.fleet.named(name)
+    async def _expect_death(self, name: str) -> None:
+        child = self.fleet.child(name)
         code = await child.wait_for_exit(0.0)
         if code != -9:
             self.fleet.ended_by_plan.discard(name)
-            raise self._unseen(name, "it came to no such step meanwhile")
-        self._note(name, code=code)
-        self.fleet.say_state(name, "ended", code=code)
+            raise self._not_happened(name, "it reached no such step while the fault was active")
+        self._add_evidence(name, code=code)
+        self.fleet.record_state(name, "ended", code=code)
 
     async def _bad_start(self, name: str) -> None:
-        await self._kill_quietly(name)
+        await self._kill_victim(name)
         await self.fleet.start_instance(name, broken=True)
-        code = await self.fleet.instances[name].wait_for_exit(DIES_S)
+        code = await self.fleet.instances[name].wait_for_exit(DEATH_TIMEOUT_S)
         if not code:
-            raise self._unseen(name, f"with a broken file it ended with {code}")
-        self._note(name, code=code, said=self.fleet.instances[name].last_line())
-        self.fleet.say_state(name, "ended", code=code)
+            raise self._not_happened(name, f"with a broken file its exit code was {code}")
+        self._add_evidence(name, code=code, said=self.fleet.instances[name].last_line())
+        self.fleet.record_state(name, "ended", code=code)
 
-    async def _lose(self, name: str) -> None:
+    async def _delete_disk(self, name: str) -> None:
         kept = self.fleet.home(name) / "kept"
         if not kept.exists():
-            raise self._unseen(name, "it had kept nothing")
-        await self._kill_quietly(name)
-        self._note(name, lost=len(os.listdir(kept)))
-        self.fleet.lose_folder(name)
+            raise self._not_happened(name, f"there is no folder {kept}")
+        await self._kill_victim(name)
+        self._add_evidence(name, lost=len(os.listdir(kept)))
+        self.fleet.delete_kept_folder(name)
 
-    async def _kill_quietly(self, name: str) -> None:
+    async def _kill_victim(self, name: str) -> None:
         self.fleet.ended_by_plan.add(name)
-        self.fleet.say_state(name, "killed")
+        self.fleet.record_state(name, "killed")
         child = self.fleet.instances[name]
         child.signal(signal.SIGKILL)
-        if await child.wait_for_exit(DIES_S) != -9:
-            raise self._unseen(name, "it had ended by itself")
+        if await child.wait_for_exit(DEATH_TIMEOUT_S) != -9:
+            raise self._not_happened(name, "it had already ended by itself")
 
-    # Wires
+    # Links
 
-    async def _wires(self, kind: str) -> None:
-        fleet, stated = self.fleet, self.stated
+    async def _break_links(self, kind: str) -> None:
+        fleet, spec = self.fleet, self.spec
         sides: dict[str, set[str]] = {}
-        for one in stated.who:
-            for other in stated.to:
-                for id_, side in fleet.ways(one, other):
-                    sides.setdefault(id_, set()).update(("there", "back") if stated.back else (side,))
-        self._sides = {id_: sorted(each) for id_, each in sides.items()}
-        for id_, each in self._sides.items():
-            self._before[id_] = await self._way(id_, kind, each)
-        self._dials = 0
+        for sender in spec.who:
+            for receiver in spec.to:
+                for id_, side in fleet.link_sides(sender, receiver):
+                    sides.setdefault(id_, set()).update(("there", "back") if spec.back else (side,))
+        self._link_sides = {id_: sorted(each) for id_, each in sides.items()}
+        for id_, each in self._link_sides.items():
+            self._before[id_] = await self._set_link_faults(id_, kind, each)
+        self._hanging_dials = 0
         if kind == "silent":
-            self._sampling = asyncio.create_task(self._sample_dials())
+            self._sampling_task = asyncio.create_task(self._sample_dials())
 
-    async def _way(self, id_: str, mode: str, sides: list[str]) -> Seen:
-        """What it counted, from the moment on at which it was set."""
-        stated = self.stated
-        more = {"ms": stated.ms, "bytes_per_s": stated.bytes_per_s}
-        return await self.fleet.wires.ask("way", id=id_, sides=sides, mode=mode, **more)
+    async def _set_link_faults(self, id_: str, mode: str, sides: list[str]) -> Json:
+        """Set the faults of a link. Returns its counts so far, which the evidence is compared with."""
+        spec = self.spec
+        parameters = {"ms": spec.ms, "bytes_per_s": spec.bytes_per_s}
+        return await self.fleet.wires.ask("way", id=id_, sides=sides, mode=mode, **parameters)
 
     async def _sample_dials(self) -> None:
-        """Dials that hang are seen at the one who dials: its sockets wait for an answer."""
-        addresses = {self.fleet.links[id_] for id_ in self._sides}
-        diallers = {id_.split(">")[0] for id_ in self._sides}
-        pids = [self.fleet.named(name).pid for name in diallers if name != "c"]
+        """Count hanging dials at the processes that dial: their sockets are in the state SYN_SENT."""
+        addresses = {self.fleet.links[id_] for id_ in self._link_sides}
+        diallers = {id_.split(">")[0] for id_ in self._link_sides}
+        pids = [self.fleet.child(name).pid for name in diallers if name != "c"]
         pids += [self.fleet.clients.pid] if "c" in diallers else []
         while True:
             for pid in pids:
-                self._dials += sum(1 for each in tcp_sockets(pid, SYN_SENT) if each[2:] in addresses)
+                self._hanging_dials += sum(1 for each in tcp_sockets(pid, SYN_SENT) if each[2:] in addresses)
             await asyncio.sleep(SAMPLE_S)
 
-    async def _whole_wires(self, kind: str) -> None:
-        after = (await self.fleet.wires.ask("count", ids=list(self._sides)))["links"]
-        for id_, each in self._sides.items():
-            await self._way(id_, "", each)
-        if self._sampling is not None:
-            self._sampling.cancel()
-        told = {"silent": "held", "delay": "delayed", "trickle": "trickled"}
-        bitten = 0
-        for id_, sides in self._sides.items():
-            old, new = self._before[id_], after[id_]
+    async def _repair_links(self, kind: str) -> None:
+        totals = (await self.fleet.wires.ask("count", ids=list(self._link_sides)))["links"]
+        for id_, each in self._link_sides.items():
+            await self._set_link_faults(id_, "", each)
+        if self._sampling_task is not None:
+            self._sampling_task.cancel()
+        counter_names = {"silent": "held", "delay": "delayed", "trickle": "trickled"}
+        affected = 0
+        for id_, sides in self._link_sides.items():
+            old, new = self._before[id_], totals[id_]
             if kind == "reset":
-                bitten += new["counts"].get("reset", 0) - old["was_reset"]
+                affected += new["counts"].get("reset", 0) - old["was_reset"]
             else:
-                word = told[kind]
-                bitten += sum(new[side].get(word, 0) - old[side].get(word, 0) for side in sides)
+                counter_name = counter_names[kind]
+                affected += sum(
+                    new[side].get(counter_name, 0) - old[side].get(counter_name, 0) for side in sides
+                )
             if kind == "silent":
-                # The far end: nothing may have come through the side that was cut.
-                through = sum(new[side].get("passed", 0) - old[side].get("passed", 0) for side in sides)
-                if through:
-                    raise self._unseen(id_, f"{through} bytes came through")
-        self._note("wires", bitten=bitten, hanging_dials=self._dials)
-        if not bitten and not self._dials:
-            raise self._unseen(",".join(self.stated.to), "nothing was on these wires")
-
-    # Layers under the program
-
-    async def _layer(self, name: str) -> None:
-        child, stated = self.fleet.instances[name], self.stated
-        if stated.kind in DEADLY:
+                # Evidence from the other end: no byte may have passed in the silent direction.
+                passed_bytes = sum(new[side].get("passed", 0) - old[side].get("passed", 0) for side in sides)
+                if passed_bytes:
+                    raise self._not_happened(id_, f"{passed_bytes} bytes passed")
+        self._add_evidence("wires", bitten=affected, hanging_dials=self._hanging_dials)
+        if not affected and not self._hanging_dials:
+            raise self._not_happened(",".join(self.spec.to), "there was no traffic on these links")
+
+    # Fault layers inside the process
+
+    async def _arm_layer(self, name: str) -> None:
+        child, spec = self.fleet.instances[name], self.spec
+        if spec.kind in SELF_KILL_KINDS:
             self.fleet.ended_by_plan.add(name)
-        if stated.kind == "clock":
-            said = await child.order(do="clock", rate=stated.rate, step_s=stated.step_s)
-        elif stated.kind in OF_DISKS:
-            said = await child.order(do="disk", mode=stated.kind, ms=stated.ms, step=stated.step)
+        if spec.kind == "clock":
+            answer = await child.order(do="clock", rate=spec.rate, step_s=spec.step_s)
+        elif spec.kind in DISK_KINDS:
+            answer = await child.order(do="disk", mode=spec.kind, ms=spec.ms, step=spec.step)
         else:
-            addresses = [self.fleet.host(1 + int(other[1:])) for other in stated.to]
-            more = {"kind": stated.kind, "ms": stated.ms, "share": stated.share, "step": stated.step}
-            said = await child.order(do="datagrams", to=addresses, **more)
-        self._before[name] = said
-
-    async def _layer_off(self, name: str) -> None:
-        child, stated, before = self.fleet.instances[name], self.stated, self._before[name]
-        if stated.kind == "clock":
-            said = await child.order(do="clock", rate=1.0, step_s=0.0)
-            await self._judge_clock(name, before, said)
+            addresses = [self.fleet.host(1 + int(receiver[1:])) for receiver in spec.to]
+            parameters = {"kind": spec.kind, "ms": spec.ms, "share": spec.share, "step": spec.step}
+            answer = await child.order(do="datagrams", to=addresses, **parameters)
+        self._before[name] = answer
+
+    async def _disarm_layer(self, name: str) -> None:
+        child, spec, previous = self.fleet.instances[name], self.spec, self._before[name]
+        if spec.kind == "clock":
+            answer = await child.order(do="clock", rate=1.0, step_s=0.0)
+            await self._verify_clock(name, previous, answer)
             return
-        if stated.kind in OF_DISKS:
-            said = await child.order(do="disk", mode="")
+        if spec.kind in DISK_KINDS:
+            answer = await child.order(do="disk", mode="")
         else:
-            addresses = [self.fleet.host(1 + int(other[1:])) for other in stated.to]
-            said = await child.order(do="datagrams", to=addresses)
-        count = said["counts"].get(stated.kind, 0) - before["counts"].get(stated.kind, 0)
-        self._note(name, count=count)
+            addresses = [self.fleet.host(1 + int(receiver[1:])) for receiver in spec.to]
+            answer = await child.order(do="datagrams", to=addresses)
+        count = answer["counts"].get(spec.kind, 0) - previous["counts"].get(spec.kind, 0)
+        self._add_evidence(name, count=count)
         if not count:
-            raise self._unseen(name, "nothing met it")
+            raise self._not_happened(name, "the layer counted no affected operation")
 
-    async def _judge_clock(self, name: str, before: Seen, said: Seen) -> None:
-        span_s = said["true_s"] - before["true_s"]
-        rate = (said["told_s"] - before["told_s"]) / max(1e-9, span_s)
-        self._note(name, rate=round(rate, 4), off_s=round(before["unix_s"] - time.time(), 3))
-        if abs(rate - self.stated.rate) > CLOCK_ERROR:
-            raise self._unseen(name, f"its clock ran at {rate:.3f}")
+    async def _verify_clock(self, name: str, previous: Json, answer: Json) -> None:
+        span_s = answer["true_s"] - previous["true_s"]
+        rate = (answer["told_s"] - previous["told_s"]) / max(1e-9, span_s)
+        self._add_evidence(name, rate=round(rate, 4), off_s=round(previous["unix_s"] - time.time(), 3))
+        if abs(rate - self.spec.rate) > CLOCK_ERROR:
+            raise self._not_happened(
+                name, f"its clock ran at a rate of {rate:.3f}, {self.spec.rate:g} stated"
+            )
 
     # Lists
 
-    async def _list(self, name: str) -> None:
-        """Brought to an instance as operators' scripts bring files: to who is up, and nobody goes back."""
-        fleet, stated = self.fleet, self.stated
-        if name == stated.who[0]:
+    async def _replace_list(self, name: str) -> None:
+        """Replace an instance's list as operators' scripts do: only if it is up, without a retry."""
+        fleet, spec = self.fleet, self.spec
+        if name == spec.who[0]:
             fleet.version += 1
         reached = fleet.instances[name].up
-        before = fleet.dropped[name]
-        fleet.dropped[name] = before | set(stated.drop)
+        previous = fleet.dropped[name]
+        fleet.dropped[name] = previous | set(spec.drop)
         if reached:
-            fleet.write_list(name, spoilt=stated.kind == "spoilt-list")
+            fleet.write_list(name, spoilt=spec.kind == "spoilt-list")
         else:
-            # Its copy stays as it is: the next change brings it up to date, this one never does.
+            # Its copy stays as it is until the next change.
             pass
         fleet.history.write(
-            "list", time.monotonic(), instance=name, reached=reached, drop=list(stated.drop),
-            spoilt=stated.kind == "spoilt-list", version=fleet.version,
+            "list", time.monotonic(), instance=name, reached=reached, drop=list(spec.drop),
+            spoilt=spec.kind == "spoilt-list", version=fleet.version,
         )  # fmt: skip
-        self._note(name, reached=reached)
+        self._add_evidence(name, reached=reached)
+
+    async def _propose_changes(self, name: str) -> None:
+        self._add_evidence(name, **await make_changes(self.fleet, self.number, self.spec, name))
 
-    async def _change(self, name: str) -> None:
-        self._note(name, **await make_changes(self.fleet, self.number, self.stated, name))
+    async def _rotate_keys(self, name: str) -> None:
+        """Replace an instance's key file, and send SIGHUP if it is up.
 
-    async def _rotate(self, name: str) -> None:
-        """As operators do: the file is replaced, and who is up is told to read it again. Who is stopped hears
-        of it when it goes on."""
-        child, groups = self.fleet.instances[name], self.stated.groups
-        begin = child.log.stat().st_size
+        A stopped instance handles the signal when it continues.
+        """
+        child, groups = self.fleet.instances[name], self.spec.groups
+        log_size = child.log.stat().st_size
         self.fleet.write_keys(name, groups)
         if not child.up:
-            self._note(name, read="at its next start")
+            self._add_evidence(name, read="at its next start")
             return
         child.signal(signal.SIGHUP)
         if process_state(child.pid) == "T":
-            self._note(name, read="when it goes on")
+            self._add_evidence(name, read="when it goes on")
             return
-        wanted = f"keys read again: group keys {', '.join(map(str, groups))}".encode()
-        end_s = time.monotonic() + DIES_S
-        while wanted not in child.log.read_bytes()[begin:]:
-            if time.monotonic() > end_s:
-                raise self._unseen(name, "it did not read its keys again")
+        expected_line = f"keys read again: group keys {', '.join(map(str, groups))}".encode()
+        deadline_s = time.monotonic() + DEATH_TIMEOUT_S
+        while expected_line not in child.log.read_bytes()[log_size:]:
+            if time.monotonic() > deadline_s:
+                raise self._not_happened(name, f"no log line {expected_line.decode()!r}")
             await asyncio.sleep(SAMPLE_S)
-        self._note(name, read="now")
+        self._add_evidence(name, read="now")
 
-    # A core
+    # CPU
 
-    async def _busy(self, name: str) -> None:
-        """Neighbours on the one core that is left to it."""
+    async def _occupy_core(self, name: str) -> None:
+        """Pin an instance to one core, and start processes that compete for it."""
         child = self.fleet.instances[name]
         core = self.number % (os.cpu_count() or 1)
         os.sched_setaffinity(child.pid, {core})
         self._before[name] = {"waited_s": waited_s(child.pid)}
-        for nth in range(SPINNERS):
-            spinner = Helper(f"busy-{self.number}-{name}-{nth}", self.fleet.folder)
+        for index in range(SPINNER_COUNT):
+            spinner = Helper(f"busy-{self.number}-{name}-{index}", self.fleet.folder)
             await spinner.start("client_proxy.fault_injection.cpu_hog", str(core))
             self._spinners.append(spinner)
 
-    async def _idle(self, name: str) -> None:
+    async def _free_core(self, name: str) -> None:
         child = self.fleet.instances[name]
         for spinner in self._spinners:
             await spinner.kill()
         self._spinners.clear()
-        waited = waited_s(child.pid) - self._before[name]["waited_s"]
+        waited_since_s = waited_s(child.pid) - self._before[name]["waited_s"]
         if child.up:
             os.sched_setaffinity(child.pid, range(os.cpu_count() or 1))
-        self._note(name, waited_s=round(waited, 3))
-        if waited <= 0.0:
-            raise self._unseen(name, "it never waited for its core")
+        self._add_evidence(name, waited_s=round(waited_since_s, 3))
+        if waited_since_s <= 0.0:
+            raise self._not_happened(name, "it never waited for its core")
 
     async def abandon(self) -> None:
-        """The drill ends early."""
-        if self._sampling is not None:
-            self._sampling.cancel()
+        """Stop the fault's own tasks and processes when the drill ends early."""
+        if self._sampling_task is not None:
+            self._sampling_task.cancel()
         for spinner in self._spinners:
             await spinner.kill()
--- a/client_proxy/fault_injection/helper.py
+++ b/client_proxy/fault_injection/helper.py
@@ -1,6 +1,6 @@
-"""The drill's own processes: orders come as JSON lines on standard input, answers go to standard output.
+"""The main loop of the drill's own processes: JSON orders on standard input, answers on standard output.
 
-A helper ends when its standard input does, so that none outlives the drill, however that ended."""
+A helper ends at the end of its standard input, so that none outlives the drill, however the drill ended."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 Json = dict[str, Any]
 Order = Callable[[Json], Awaitable[Json | None]]
-TICK_S = 0.02
-MOST_ORDER = 4 * 1024 * 1024
+TICK_S = 0.02  # period of the timer whose lateness is measured
+MAX_ORDER_BYTES = 4 * 1024 * 1024  # of one line
 
 
 class Lateness:
-    """By how much this process's timers are late: where the rig itself becomes the limit."""
+    """How late this process's timers are, which shows when the drill itself is the bottleneck."""
 
     def __init__(self) -> None:
         self.worst_s = 0.0
@@ -38,15 +38,19 @@
         return {"worst_s": round(self.worst_s, 4), "mean_s": round(self.sum_s / max(1, self.ticks), 5)}
 
 
-def serve(make: Callable[[], dict[str, Order]]) -> None:
-    """Carry out orders until standard input ends. `make` is called inside the event loop."""
+def serve(make_handlers: Callable[[], dict[str, Order]]) -> None:
+    """Carry out orders until standard input ends.
+
+    Args:
+        make_handlers: Returns the handler of each order; called inside the event loop.
+    """
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        orders = make()
+        handlers = make_handlers()
         lateness = Lateness()
-        watching = loop.create_task(lateness.watch())
-        reader = asyncio.StreamReader(limit=MOST_ORDER)
+        watch_task = loop.create_task(lateness.watch())
+        reader = asyncio.StreamReader(limit=MAX_ORDER_BYTES)
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
         while line := await reader.readline():
             order = json.loads(line)
@@ -54,12 +58,12 @@
                 if order["do"] == "late":
                     answer: Json | None = lateness.summary()
                 else:
-                    answer = await orders[order["do"]](order)
-                said = {"n": order["n"], "ok": True, **(answer or {})}
-            except Exception as error:  # the drill tells of it, with the order's name
-                said = {"n": order["n"], "ok": False, "why": f"{type(error).__name__}: {error}"}
-            sys.stdout.write(json.dumps(said) + "\n")
+                    answer = await handlers[order["do"]](order)
+                reply = {"n": order["n"], "ok": True, **(answer or {})}
+            except Exception as error:  # goes to the drill, which reports it with the order's name
+                reply = {"n": order["n"], "ok": False, "why": f"{type(error).__name__}: {error}"}
+            sys.stdout.write(json.dumps(reply) + "\n")
             sys.stdout.flush()
-        watching.cancel()
+        watch_task.cancel()
 
     asyncio.run(run())
--- a/client_proxy/fault_injection/history.py
+++ b/client_proxy/fault_injection/history.py
@@ -1,21 +1,24 @@
-"""What happened in a drill, as JSON lines on one clock.
-
-Every process of a drill writes a file of its own, line by line, so that what it wrote outlives its kill -9.
-All times are seconds of the machine's CLOCK_MONOTONIC, which is the same in all processes of one machine;
-an instance whose clock a fault bends writes no history. Records are objects with `kind`, `t` and:
-
-- `op`: a client's try. `id`, `logical` (the same over a client's own repeats), `class`, `key`, `instance`,
-  `begin`, `end`, `status` (0: no answer), `ending`, `served_by`, `again` (bytes behind the final answer);
-- `probe`: a question for readiness. `instance`, `begin`, `end`, `status`;
-- `arrival` and `fate`: a request at a server, as `emulator/event_log.py` has it. `server`, `life`,
-  `instance`;
-- `fault`: what was done, by the drill. `n`, `what`, `who`, `begin`, `end`, `seen`;
-- `list`: a file of servers was replaced. `instance`, `reached`, `drop`;
-- `change`: of the agreed policy, as its author was told. `name`, `instance`, `what`, `version` (0: not
-known), `servers`, `attempts`;
-- `versions`: what an instance told at the end of all that was decided. `who`, `versions`: number and name;
-- `state`: of a process. `who`, `state` (started, ready, stopped, going, ended), `pid`;
-- `look`: `who`, `fds`, `rss_kb`; `log`: `who`, `line`; `late`: by how much the rig's own timers were late.
+"""The history of a drill: JSON lines whose times are all on one clock.
+
+Every process of a drill writes a file of its own, line by line, so that its records survive its kill -9. All
+times are seconds of the machine's CLOCK_MONOTONIC, which is the same in all processes of one machine; an
+instance whose clock a fault changes writes no history. Records are objects with `kind`, `t` and:
+
+- `op`: a client attempt. `id`, `logical` (the request; the same for its retries by the client), `class`,
+  `key`, `instance`, `begin`, `end`, `status` (0: no answer), `ending`, `served_by`, `again` (bytes after the
+  final answer);
+- `probe`: a readiness probe. `instance`, `begin`, `end`, `status`;
+- `arrival` and `fate`: a request at a server and its outcome (`emulator/event_log.py`). `server`, `life` (the
+  start time of the server's process), `instance`;
+- `fault`: a fault that the drill injected. `n`, `what`, `who`, `begin`, `end`, `seen` (the evidence);
+- `list`: a server list file was replaced. `instance`, `reached`, `drop`;
+- `change`: a change of the agreed policy and the outcome that its author reports. `name`, `instance`, `what`,
+  `version` (0: not known), `servers`, `attempts`;
+- `versions`: the decided versions that an instance reports at the end. `who`, `versions`: number and name;
+- `state`: a state change of a process. `who`, `state` (started, ready, stopped, going, ended), `pid`;
+- `look`: resources of an instance. `who`, `fds`, `rss_kb`;
+- `log`: a log line of an instance. `who`, `line`;
+- `late`: how late the timers of one of the drill's own processes were.
 """
 
 from __future__ import annotations
@@ -27,11 +30,11 @@
 from typing import Any
 
 Record = dict[str, Any]
-MOST_LINE = 64 * 1024
+MAX_LINE_BYTES = 64 * 1024
 
 
 class Writer:
-    """Appends records to a file, each at once: a line is whole or is not there."""
+    """Appends records to a file, each in one write, so that a line is there whole or not at all."""
 
     def __init__(self, path: Path) -> None:
         self._handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
@@ -45,7 +48,11 @@
 
 
 def read(path: Path) -> Iterator[Record]:
-    """A last line that a kill cut short is passed over. Raises ValueError for any other that is none."""
+    """Yield the records of a file, without a last line that a kill cut short.
+
+    Raises:
+        ValueError: Another line is not a record.
+    """
     if not path.exists():
         return
     lines = path.read_bytes().split(b"\n")
@@ -53,18 +60,18 @@
         if not line:
             continue
         try:
-            found = json.loads(line)
+            record = json.loads(line)
         except ValueError:
             if number == len(lines) - 1:
                 return
-            raise ValueError(f"{path}:{number + 1}: not a record") from None
-        yield found
+            raise ValueError(f"{path}:{number + 1}: not a JSON record") from None
+        yield record
 
 
 def merged(paths: Iterable[Path]) -> list[Record]:
-    """All records of a drill in the order of their times."""
-    found = [record for path in sorted(paths) for record in read(path)]
-    return sorted(found, key=lambda record: float(record["t"]))
+    """Return the records of several files in the order of time."""
+    records = [record for path in sorted(paths) for record in read(path)]
+    return sorted(records, key=lambda record: float(record["t"]))
 
 
 def write_all(path: Path, records: Iterable[Record]) -> None:
--- a/client_proxy/fault_injection/plan.py
+++ b/client_proxy/fault_injection/plan.py
@@ -16,14 +16,14 @@
 MAX_INSTANCES = 60  # that the addresses and the wires are laid out for
 MOST_S = 600.0
 
-OF_PROCESSES = ("kill", "term", "stop", "bad-start", "busy")
-OF_WIRES = ("silent", "reset", "delay", "trickle")
-OF_DATAGRAMS = ("loss", "late", "twice", "reorder", "die-after")
-OF_CLOCKS = ("clock",)
-OF_DISKS = ("full", "read-only", "slow-disk", "torn", "lost-disk", "die-at")
-OF_LISTS = ("list", "spoilt-list")
-OF_AGREEMENT = ("propose", "withdraw", "back", "reseat", "dry-run")
-MOMENTS = ("list", "spoilt-list", "rotate", *OF_AGREEMENT)  # they have no way back
+PROCESS_KINDS = ("kill", "term", "stop", "bad-start", "busy")
+LINK_KINDS = ("silent", "reset", "delay", "trickle")
+DATAGRAM_KINDS = ("loss", "late", "twice", "reorder", "die-after")
+CLOCK_KINDS = ("clock",)
+DISK_KINDS = ("full", "read-only", "slow-disk", "torn", "lost-disk", "die-at")
+LIST_KINDS = ("list", "spoilt-list")
+AGREEMENT_KINDS = ("propose", "withdraw", "back", "reseat", "dry-run")
+INSTANT_KINDS = ("list", "spoilt-list", "rotate", *AGREEMENT_KINDS)  # they have no way back
 Kind = Literal[
     "kill", "term", "stop", "bad-start", "busy",
     "silent", "reset", "delay", "trickle",
@@ -122,10 +122,10 @@
 
     @model_validator(mode="after")
     def _fits(self) -> FaultTable:
-        wires = self.kind in OF_WIRES
+        wires = self.kind in LINK_KINDS
         if wires and not self.to:
             raise ValueError("to: missing: a fault of wires has two ends")
-        if self.to and not wires and self.kind not in OF_DATAGRAMS:
+        if self.to and not wires and self.kind not in DATAGRAM_KINDS:
             raise ValueError(f"to: {self.kind} has one end only")
         if self.kind == "list" and not self.drop:
             raise ValueError("drop: missing: which servers leave the list?")
@@ -141,7 +141,7 @@
             raise ValueError("rate, step_s: neither is stated: the clock would be right")
         return self
 
-    def named(self) -> str:
+    def label(self) -> str:
         ends = f" {'<>' if self.back else '>'} {','.join(self.to)}" if self.to else ""
         return f"{self.kind} {','.join(self.who)}{ends}"
 
@@ -185,24 +185,25 @@
                     raise ValueError(f"fault.{number}: drop: no server {name}; there are {sorted(servers)}")
             if fault.at_s >= self.length_s:
                 raise ValueError(f"fault.{number}: at_s: after the end of the plan")
-            if fault.kind in (*OF_LISTS, *OF_DISKS) and self.fleet.line == "run":
+            if fault.kind in (*LIST_KINDS, *DISK_KINDS) and self.fleet.line == "run":
                 raise ValueError(f"fault.{number}: {fault.kind}: the `run` line has no files of its own")
-            if (fault.kind in OF_LISTS and self.fleet.seats) or (
-                fault.kind in OF_AGREEMENT and (not self.fleet.seats or len(fault.who) != 1)
+            if (fault.kind in LIST_KINDS and self.fleet.seats) or (
+                fault.kind in AGREEMENT_KINDS and (not self.fleet.seats or len(fault.who) != 1)
             ):
                 raise ValueError(f"fault.{number}: {fault.kind}: lists are agreed on where there are seats")
             if fault.kind == "rotate" and not self.fleet.gossip:
                 raise ValueError(f"fault.{number}: rotate: there are keys only with gossip")
             if fault.kind in (
-                "rotate", *OF_LISTS, *OF_AGREEMENT, *OF_DISKS, *OF_CLOCKS, *OF_DATAGRAMS, "bad-start", "busy",
+                "rotate", *LIST_KINDS, *AGREEMENT_KINDS, *DISK_KINDS, *CLOCK_KINDS, *DATAGRAM_KINDS,
+                "bad-start", "busy",
             ):  # fmt: skip
                 if any(not name.startswith("i") for name in fault.who):
                     raise ValueError(f"fault.{number}: who: {fault.kind} befalls instances only")
-            elif any(name == "c" for name in fault.who) and fault.kind not in OF_WIRES:
+            elif any(name == "c" for name in fault.who) and fault.kind not in LINK_KINDS:
                 raise ValueError(f"fault.{number}: who: the clients are the drill's own measure")
-            if fault.kind in OF_DATAGRAMS and not (self.fleet.gossip or self.fleet.seats):
+            if fault.kind in DATAGRAM_KINDS and not (self.fleet.gossip or self.fleet.seats):
                 raise ValueError(f"fault.{number}: {fault.kind}: instances send datagrams only with gossip")
-            if fault.kind in OF_WIRES and self.fleet.seats and "c" not in named:
+            if fault.kind in LINK_KINDS and self.fleet.seats and "c" not in named:
                 raise ValueError(f"fault.{number}: {fault.kind}: with seats, all share the wires to a server")
         if self.fleet.without and not set(self.fleet.without) < servers:
             raise ValueError(f"fleet.without: not some of {sorted(servers)}")
--- a/client_proxy/fault_injection/scenario_runner.py
+++ b/client_proxy/fault_injection/scenario_runner.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from client_proxy.fault_injection import history, invariants, versions
-from client_proxy.fault_injection.changes import tell_versions
+from client_proxy.fault_injection.changes import record_versions
 from client_proxy.fault_injection.child_process import (
     RigError,
     cpu_time_s,
@@ -28,7 +28,7 @@
 )
 from client_proxy.fault_injection.faults import Fault
 from client_proxy.fault_injection.fleet import Fleet
-from client_proxy.fault_injection.plan import MOMENTS, Plan, format_plan
+from client_proxy.fault_injection.plan import INSTANT_KINDS, Plan, format_plan
 
 MARGIN_S = 2.0  # of load, past the moment from which service has to be whole
 START_S = 60.0  # within which all have to be ready
@@ -59,7 +59,7 @@
     def rules(self) -> list[str]:
         return sorted({breach.rule for breach in self.breaches})
 
-    def told(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
         return asdict(self) | {"rules": self.rules()}
 
 
@@ -98,7 +98,7 @@
             for fault in faults:
                 await fault.abandon()
         await self._end_load()
-        await tell_versions(fleet)
+        await record_versions(fleet)
         watching.cancel()
         await self._end_instances()
         befallen = {name for fault in self.plan.fault for name in fault.who}
@@ -138,33 +138,33 @@
         raise RigError(f"not all instances are ready after {START_S:g} s")
 
     async def _carry_out(self, fault: Fault) -> None:
-        stated = fault.stated
+        stated = fault.spec
         if stated.when is not None:
             await self._line(stated.when.of, stated.when.log, stated.when.within_s)
             await asyncio.sleep(stated.at_s)
         else:
             await self._sleep_until(stated.at_s)
-        self._say(f"{time.monotonic() - self._start_s:6.2f} s  {stated.named()}")
+        self._say(f"{time.monotonic() - self._start_s:6.2f} s  {stated.label()}")
         await fault.begin()
         if stated.for_s:
             await asyncio.sleep(stated.for_s)
-            await fault.put_right()
-            self._say(f"{time.monotonic() - self._start_s:6.2f} s  put right: {stated.named()}")
-        elif stated.kind in MOMENTS:
+            await fault.revert()
+            self._say(f"{time.monotonic() - self._start_s:6.2f} s  put right: {stated.label()}")
+        elif stated.kind in INSTANT_KINDS:
             fault.end_s = time.monotonic()
         else:
             # It lasts: what has to be seen of it is seen at the plan's end.
             await self._sleep_until(self.plan.length_s)
             if stated.kind not in ("kill", "term", "stop", "bad-start", "lost-disk"):
-                await fault.put_right()
+                await fault.revert()
             fault.end_s = time.monotonic()
         self.fleet.history.write(
             "fault", fault.begin_s, n=fault.number, what=stated.kind, who=list(stated.who),
-            to=list(stated.to), begin=round(fault.begin_s, 6), end=round(fault.end_s, 6), seen=fault.seen,
+            to=list(stated.to), begin=round(fault.begin_s, 6), end=round(fault.end_s, 6), seen=fault.evidence,
         )  # fmt: skip
 
     async def _line(self, of: str, text: str, within_s: float) -> None:
-        log = self.fleet.named(of).log
+        log = self.fleet.child(of).log
         skip = log.stat().st_size if log.exists() else 0
         end_s = time.monotonic() + within_s
         while time.monotonic() < end_s:
@@ -184,7 +184,7 @@
                     continue
                 told.add(child.pid)
                 code = child.process.returncode
-                self.fleet.say_state(name, "crashed", code=code, said=child.last_line())
+                self.fleet.record_state(name, "crashed", code=code, said=child.last_line())
             await asyncio.sleep(WATCH_S)
 
     def _look(self, name: str, rested: bool = False) -> None:
@@ -210,12 +210,12 @@
         for name, child in fleet.instances.items():
             if child.up and process_state(child.pid) != "T":
                 fleet.ended_by_plan.add(name)
-                fleet.say_state(name, "ending")
+                fleet.record_state(name, "ending")
                 with suppress(ProcessLookupError):
                     child.signal(15)
         for name, child in fleet.instances.items():
             if child.up and process_state(child.pid) != "T" and await child.wait_for_exit(within_s) is None:
-                fleet.say_state(name, "hangs")
+                fleet.record_state(name, "hangs")
 
     async def end(self) -> None:
         pids = [(child.name, child.pid) for child in self._all() if child.pid]
@@ -315,11 +315,11 @@
     verdict.took_s = round(time.monotonic() - begin_s, 2)
     verdict.folder = str(folder)
     history.write_all(folder / "history.jsonl", records)
-    (folder / "verdict.json").write_text(json.dumps(verdict.told(), indent=1))
+    (folder / "verdict.json").write_text(json.dumps(verdict.to_json(), indent=1))
     return verdict
 
 
-def again(folder: Path) -> Verdict:
+def judge_folder(folder: Path) -> Verdict:
     """The verdict of a folder, from its plan and history, by the checkers of this version. Raises OSError,
     ValueError or TomlError where it is not one."""
     from client_proxy.fault_injection.plan import load
@@ -333,6 +333,6 @@
     return verdict
 
 
-def clear(folder: Path) -> None:
+def remove_folder(folder: Path) -> None:
     """A drill that passed leaves nothing that anybody needs."""
     shutil.rmtree(folder, ignore_errors=True)
--- a/client_proxy/fault_injection/servers.py
+++ b/client_proxy/fault_injection/servers.py
@@ -1,6 +1,7 @@
-"""One rack of the emulator's record servers as a process, with its own record of what came.
+"""One rack of the emulator's servers as a process of a drill, which records the requests that arrive.
 
-Each instance has a door of its own at each server, so that the record tells who sent."""
+Each instance has a listener of its own at each server, so that the record says who sent a request.
+"""
 
 from __future__ import annotations
 
@@ -11,13 +12,13 @@
 
 from client_proxy.emulator.event_log import Arrival, ClientAttempt, ServerOutcome
 from client_proxy.emulator.listeners import SocketListener
-from client_proxy.emulator.scenario_reader import parse_scenario as read_day
+from client_proxy.emulator.scenario_reader import parse_scenario as parse_scenario
 from client_proxy.emulator.simulation import Simulation
 from client_proxy.fault_injection.helper import Json, Order, serve
 from client_proxy.fault_injection.history import Writer
 
-SWEEP_S = 0.05
-OVER = (
+SWEEP_S = 0.05  # between two searches for requests that have ended
+FINAL_OUTCOMES = (
     ServerOutcome.COMPLETED,
     ServerOutcome.DEDUPLICATED,
     ServerOutcome.FAILED,
@@ -27,8 +28,8 @@
 )
 
 
-class Arrivals(list[Arrival]):
-    """Writes down each arrival at once, and its fate when it has one: a kill -9 leaves what came."""
+class ArrivalLog(list[Arrival]):
+    """Writes each arrival to the history at once, so that it survives a kill -9, and its outcome later."""
 
     def __init__(self, writer: Writer) -> None:
         super().__init__()
@@ -40,63 +41,71 @@
         self._number += 1
         self._open[self._number] = arrival
         self._writer.write(
-            "arrival", arrival.arrived_s, n=self._number, server=arrival.server, life=time_of_birth,
+            "arrival", arrival.arrived_s, n=self._number, server=arrival.server, life=started_s,
             instance=f"i{arrival.proxy}", id=arrival.attempt_id, **{"class": arrival.class_name},
             key=arrival.idempotency_key, first=round(arrival.first_byte_s, 6),
         )  # fmt: skip
 
-    def sweep(self) -> None:
+    def write_outcomes(self) -> None:
         for number, arrival in list(self._open.items()):
-            if arrival.outcome in OVER:
+            if arrival.outcome in FINAL_OUTCOMES:
                 del self._open[number]
                 self._writer.write(
-                    "fate", time.monotonic(), n=number, life=time_of_birth, server=arrival.server,
+                    "fate", time.monotonic(), n=number, life=started_s, server=arrival.server,
                     fate=arrival.outcome.value, started=arrival.started_s, ended=arrival.ended_s,
                 )  # fmt: skip
 
 
-time_of_birth = round(time.monotonic(), 6)  # tells the lives of a rack's process apart
+started_s = round(time.monotonic(), 6)  # identifies this process among the rack's restarts
 
 
 class Rack(Simulation):
-    """A stage whose clients are processes of their own: the last part of a path is the request's key."""
+    """A simulation whose clients are other processes.
+
+    The last part of a request's path is its idempotency key.
+    """
 
     def foreign_attempt(self, attempt_id: str, url: bytes) -> ClientAttempt | None:
-        tried = super().foreign_attempt(attempt_id, url)
-        if tried is not None:
-            tried.idempotency_key = url.rpartition(b"/")[2].decode("latin-1")
-        return tried
+        attempt = super().foreign_attempt(attempt_id, url)
+        if attempt is not None:
+            attempt.idempotency_key = url.rpartition(b"/")[2].decode("latin-1")
+        return attempt
 
 
-def orders() -> dict[str, Order]:
-    made: dict[str, Any] = {}
+def make_handlers() -> dict[str, Order]:
+    state: dict[str, Any] = {}
 
     async def begin(order: Json) -> Json:
         loop = asyncio.get_running_loop()
-        stage = Rack(read_day(order["day"], "rack"), loop)
-        stage.accepts_foreign_requests = True
-        stage.new_listener = lambda factory: SocketListener(loop, factory, (order["host"], 0))
+        simulation = Rack(parse_scenario(order["day"], "rack"), loop)
+        simulation.accepts_foreign_requests = True
+        simulation.new_listener = lambda factory: SocketListener(loop, factory, (order["host"], 0))
         writer = Writer(Path(order["history"]))
-        arrivals = stage.event_log.arrivals = Arrivals(writer)
-        for server in stage.servers.values():
+        arrivals = simulation.event_log.arrivals = ArrivalLog(writer)
+        for server in simulation.servers.values():
             server.prepare()
-            server.start(cold=order["cold"], since_ms=stage.since_ms())
-        made["stage"] = stage
+            server.start(cold=order["cold"], since_ms=simulation.since_ms())
+        state["stage"] = simulation
 
-        async def sweeps() -> None:
+        async def sweep_periodically() -> None:
             while True:
                 await asyncio.sleep(SWEEP_S)
-                arrivals.sweep()
-                for fall in stage.event_log.overload_crashes:
-                    writer.write("fall", fall.at_s, server=fall.server)
-                stage.event_log.overload_crashes.clear()
-                stage.event_log.attempts.clear()
-
-        made["sweeps"] = loop.create_task(sweeps())
-        return {"doors": {s.name: [list(d.address) for d in s.listeners] for s in stage.servers.values()}}
+                arrivals.write_outcomes()
+                for crash in simulation.event_log.overload_crashes:
+                    writer.write("fall", crash.at_s, server=crash.server)
+                simulation.event_log.overload_crashes.clear()
+                simulation.event_log.attempts.clear()
+
+        state["sweeps"] = loop.create_task(sweep_periodically())
+        return {
+            "doors": {
+                server.name: [list(listener.address) for listener in server.listeners]
+                for server in simulation.servers.values()
+            }
+        }
 
     return {"begin": begin}
 
 
 if __name__ == "__main__":
-    serve(orders)
+    serve(make_handlers)
--- a/client_proxy/scale/fleet.py
+++ b/client_proxy/scale/fleet.py
@@ -75,7 +75,7 @@
         """Stops the process by SIGSTOP while no order is pending.
 
         A late answer would be taken for the answer to the next order. Raises RigError if it doesn't stop."""
-        async with self._turn:
+        async with self._lock:
             self.signal(signal.SIGSTOP)
             if not await self.wait_for_state("T"):
                 raise RigError(f"{self.name}: process did not stop after SIGSTOP")
--- a/tests/fault_injection/test_checks.py
+++ b/tests/fault_injection/test_checks.py
@@ -169,4 +169,4 @@
     assert judge(known, stale, {}).outcome == "passed"
     assert judge(known, [], {}).outcome == "failed"
     assert judge(PLAN, stale, {}).outcome == "failed"
-    assert FaultTable(kind="kill", who=("i1",)).named() == "kill i1"
+    assert FaultTable(kind="kill", who=("i1",)).label() == "kill i1"
--- a/tests/fault_injection/test_drills.py
+++ b/tests/fault_injection/test_drills.py
@@ -49,7 +49,7 @@
     assert seen["reset"]["wires"]["bitten"] > 0
     assert seen["silent"]["wires"]["bitten"] + seen["silent"]["wires"]["hanging_dials"] > 0
     # Handed on, the folder gives the same verdict.
-    again = scenario_runner.again(folder)
+    again = scenario_runner.judge_folder(folder)
     assert (again.outcome, again.figures) == (verdict.outcome, verdict.figures)
     assert verdict.figures["served"] > 200
 
--- a/tests/fault_injection/test_explore.py
+++ b/tests/fault_injection/test_explore.py
@@ -8,8 +8,8 @@
 import pytest
 
 from client_proxy.config.models import parse
-from client_proxy.fault_injection.explore import draw, shrink
-from client_proxy.fault_injection.plan import OF_AGREEMENT, FaultTable, FleetTable, Plan, format_plan
+from client_proxy.fault_injection.explore import draw_plan, minimize
+from client_proxy.fault_injection.plan import AGREEMENT_KINDS, FaultTable, FleetTable, Plan, format_plan
 
 
 @pytest.mark.parametrize("fleet", [FleetTable(instances=4, gossip=True), FleetTable(instances=3, line="run")])
@@ -17,8 +17,8 @@
     base = Plan(name="base", seed=9, length_s=12, fleet=fleet)
     kinds = set()
     for seed in range(200):
-        plan = draw(base, seed)
-        assert parse(Plan, format_plan(plan), "drawn") == plan == draw(base, seed)
+        plan = draw_plan(base, seed)
+        assert parse(Plan, format_plan(plan), "drawn") == plan == draw_plan(base, seed)
         kinds |= {fault.kind for fault in plan.fault}
         befallen = {name for fault in plan.fault for name in (*fault.who, *fault.to)}
         hit = {name for fault in plan.fault if fault.kind not in ("late", "loss") for name in fault.who}
@@ -41,7 +41,7 @@
         moments = {fault.at_s for fault in tried.fault}
         return ["lost"] if {2.0, 5.0} <= moments else []
 
-    small = asyncio.run(shrink(plan, "lost", run))
+    small = asyncio.run(minimize(plan, "lost", run))
     assert [fault.at_s for fault in small.plan.fault] == [2.0, 5.0]
     assert all(fault.for_s == 1.0 for fault in small.plan.fault)
     assert small.runs == runs <= 24
@@ -52,9 +52,9 @@
     base = Plan(name="agreed", length_s=9.0, fleet=fleet)
     kinds: set[str] = set()
     for seed in range(300):
-        drawn = draw(base, seed)
+        drawn = draw_plan(base, seed)
         kinds |= {fault.kind for fault in drawn.fault}
-        assert any(fault.kind in OF_AGREEMENT for fault in drawn.fault)
+        assert any(fault.kind in AGREEMENT_KINDS for fault in drawn.fault)
         for fault in drawn.fault:
             loses = fault.fresh or fault.kind == "lost-disk"
             assert not (loses and set(fault.who) & {"i0", "i1", "i2"}), fault
--- a/tests/fault_injection/test_layers.py
+++ b/tests/fault_injection/test_layers.py
@@ -12,7 +12,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from client_proxy.fault_injection.child_process import INSIDE, ROOT, Child, process_state
+from client_proxy.fault_injection.child_process import LAUNCHER, ROOT, Child, process_state
 
 PROBE = """
 import asyncio, json, os, socket, sys, time
@@ -211,7 +211,7 @@
 def test_it_dies_with_its_parent_also_when_it_is_stopped(tmp_path: Path) -> None:
     parent = f"""
 import os, subprocess, sys
-child = subprocess.Popen([sys.executable, {str(INSIDE)!r}, "--parent", str(os.getpid()), "--path",
+child = subprocess.Popen([sys.executable, {str(LAUNCHER)!r}, "--parent", str(os.getpid()), "--path",
     {str(ROOT)!r}, "--", "client_proxy.fault_injection.cpu_hog", "0"])
 print(child.pid, flush=True)
 sys.stdin.read()
--- a/tests/fault_injection/test_wires.py
+++ b/tests/fault_injection/test_wires.py
@@ -34,10 +34,10 @@
 
     def set(self, mode: str, *sides: str, **more: Any) -> None:
         order = {"mode": mode, "sides": sides or ("there", "back"), "ms": 0.0, "bytes_per_s": 1000.0}
-        self.link.set(order | more)
+        self.link.set_faults(order | more)
 
     async def dial(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        return await asyncio.open_connection(*self.link.door.address)
+        return await asyncio.open_connection(*self.link.listener.address)
 
 
 def wired(test: Callable[[Wired], Awaitable[None]]) -> None:
@@ -56,7 +56,7 @@
             server = await asyncio.start_server(echo, "127.0.0.1", 0)
             made = Wired(Link("127.0.0.1", server.sockets[0].getsockname()))
             await test(made)
-            made.link.door.close()
+            made.link.listener.close()
             server.close()
 
     asyncio.run(run())
@@ -70,7 +70,7 @@
         writer.write_eof()
         assert await reader.read() == b""
         writer.close()
-        await until(lambda: not made.link.pairs)
+        await until(lambda: not made.link.connections)
 
     wired(test)
 
@@ -83,12 +83,12 @@
         made.set("silent", "back")
         writer.write(b"2")
         await until(lambda: made.came == b"12")
-        await until(lambda: made.link.told()["back"]["held"] > 0)
+        await until(lambda: made.link.summary()["back"]["held"] > 0)
         made.set("")
         assert await reader.readexactly(2) == b"<2"
         made.set("silent", "there")
         writer.write(b"3")
-        await until(lambda: made.link.told()["there"].get("held", 0) > 0)
+        await until(lambda: made.link.summary()["there"].get("held", 0) > 0)
         assert made.came == b"12"
         made.set("")
         assert await reader.readexactly(2) == b"<3"
@@ -124,7 +124,7 @@
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             other.write(b"2")
             await again.readexactly(1)
-        assert made.link.told()["counts"]["reset"] >= 2
+        assert made.link.summary()["counts"]["reset"] >= 2
         assert made.came == b"1"
         made.set("closed")
         with pytest.raises(ConnectionRefusedError):
@@ -148,7 +148,7 @@
         await until(lambda: len(made.came) == 4 + 2048)
         assert loop.time() - begin_s >= 1536 / 20_000  # the last chunk goes when those before have gone
         assert made.came[4:] == bytes(range(256)) * 8
-        there = made.link.told()["there"]
+        there = made.link.summary()["there"]
         assert there["delayed"] == 4
         assert there["trickled"] == 2048
         writer.close()
@@ -164,9 +164,9 @@
         made.set("silent", "there")
         sent = 16 * 1024 * 1024
         writer.write(b"x" * sent)
-        pair = next(iter(made.link.pairs))
-        await until(lambda: pair.there._paused)
-        assert pair.there._size < 2 * 1024 * 1024
+        relayed = next(iter(made.link.connections))
+        await until(lambda: relayed.forward_stream._reading_paused)
+        assert relayed.forward_stream._buffered_bytes < 2 * 1024 * 1024
         made.set("")
         assert await reader.readexactly(2) == b"<1"
         while len(made.came) < 1 + sent:  # the echo waits for who reads it
