--- a/client_proxy/fault_injection/discovery.py
+++ b/client_proxy/fault_injection/discovery.py
@@ -38,18 +38,20 @@
     async def begin(order: Json) -> Json:
         """Start the service. `doors` in the order: by server, the address for each instance."""
         loop = asyncio.get_running_loop()
-        scenario = parse_scenario(order["day"], "fleet")
+        drill_scenario = parse_scenario(order["day"], "fleet")
         writer = Writer(Path(order["history"]))
         servers = {
             spec.name: SimpleNamespace(
                 spec=spec,
-                listeners=[SimpleNamespace(address=tuple(address)) for address in order["doors"][spec.name]],
+                listeners=[
+                    SimpleNamespace(address=tuple(host_port)) for host_port in order["doors"][spec.name]
+                ],
             )
-            for spec in scenario.servers()
+            for spec in drill_scenario.servers()
         }
         # Only what the registry uses of a simulation.
         simulation: Any = SimpleNamespace(
-            scenario=scenario,
+            scenario=drill_scenario,
             loop=loop,
             servers=servers,
             event_log=SimpleNamespace(notifications=NotificationLog(writer)),
--- a/client_proxy/fault_injection/fault_proxy.py
+++ b/client_proxy/fault_injection/fault_proxy.py
@@ -91,7 +91,7 @@
             self._reading_paused = False
             self.source.resume_reading()
 
-    def discard(self) -> None:
+    def discard_buffer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._buffered.clear()
@@ -127,7 +127,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._outgoing.source = self._incoming.sink = None
-        self._incoming.discard()
+        self._incoming.discard_buffer()
         if exc is not None:
             self._relayed.reset()
         else:
@@ -151,7 +151,7 @@
         self.reset_done = False  # reset; an end that is connected later is reset too
 
     def accept(self) -> asyncio.Protocol:
-        self._link.connections[self] = None
+        self._link.relayed_connections[self] = None
         self._link.counts["dials"] += 1
         if self._link.resetting:
             self._link.counts["reset"] += 1
@@ -176,12 +176,12 @@
                 reset_connection(end.transport)
                 end.transport.abort()
         if self.target_end.transport is None:
-            self._link.connections.pop(self, None)
+            self._link.relayed_connections.pop(self, None)
 
     def end_closed(self, end: End) -> None:
         self._ended_count += 1
         if self._ended_count == 2 or self.target_end.transport is None:
-            self._link.connections.pop(self, None)
+            self._link.relayed_connections.pop(self, None)
 
 
 class Link:
@@ -192,7 +192,7 @@
         self.directions = (Direction(), Direction())
         self.resetting = self.refusing = False
         self.resets_before = 0  # connections reset before the last order
-        self.connections: dict[RelayedConnection, None] = {}
+        self.relayed_connections: dict[RelayedConnection, None] = {}
         self.counts: Counter[str] = Counter()
         loop = asyncio.get_running_loop()
         self.listener = SocketListener(loop, lambda: RelayedConnection(self).accept(), (host, 0))
@@ -208,11 +208,11 @@
         self.resetting = order["mode"] == "reset"
         self.refusing = self.refusing or order["mode"] == "closed"
         if self.resetting:
-            self.counts["reset"] += len(self.connections)
-            for relayed in list(self.connections):
+            self.counts["reset"] += len(self.relayed_connections)
+            for relayed in list(self.relayed_connections):
                 relayed.reset()
         self._update_listener()
-        for relayed in list(self.connections):
+        for relayed in list(self.relayed_connections):
             relayed.forward_stream.send_due()
             relayed.backward_stream.send_due()
 
@@ -234,7 +234,7 @@
         sides = dict(
             zip(("there", "back"), (dict(direction.counts) for direction in self.directions), strict=True)
         )
-        totals = {"open": len(self.connections), "was_reset": self.resets_before}
+        totals = {"open": len(self.relayed_connections), "was_reset": self.resets_before}
         return {"counts": dict(self.counts), **totals, **sides}
 
 
--- a/client_proxy/fault_injection/faults.py
+++ b/client_proxy/fault_injection/faults.py
@@ -84,7 +84,7 @@
         if kind in SELF_KILL_KINDS:
             await self._for_each_victim(self._expect_death)
         if kind in ("kill", "term", "lost-disk", "bad-start", *SELF_KILL_KINDS):
-            await self._for_each_victim(self._restart)
+            await self._for_each_victim(self._start_again)
         elif kind == "stop":
             await self._for_each_victim(self._resume)
         elif kind in LINK_KINDS:
@@ -109,7 +109,7 @@
 
     async def _send_signal(self, name: str) -> None:
         kind = self.spec.kind
-        child = self.fleet.child(name)
+        child = self.fleet.process_by_name(name)
         if kind != "stop":
             self.fleet.ended_by_plan.add(name)
         # Recorded before the signal: an answer in between must not count as one of a healthy process.
@@ -133,7 +133,7 @@
         self.fleet.record_state(name, "ended", code=code)
 
     async def _resume(self, name: str) -> None:
-        child = self.fleet.child(name)
+        child = self.fleet.process_by_name(name)
         if not await child.wait_for_state("T", 0.0) and not child.up:
             raise self._not_happened(name, "it ended while it was stopped")
         self.fleet.record_state(name, "going")
@@ -141,7 +141,7 @@
         if not await child.wait_for_state("!T"):
             raise self._not_happened(name, "it did not continue after SIGCONT")
 
-    async def _restart(self, name: str) -> None:
+    async def _start_again(self, name: str) -> None:
         fleet = self.fleet
         if self.spec.fresh:
             fleet.delete_kept_folder(name)
@@ -159,7 +159,7 @@
         fleet.ended_by_plan.discard(name)
 
     async def _expect_death(self, name: str) -> None:
-        child = self.fleet.child(name)
+        child = self.fleet.process_by_name(name)
         code = await child.wait_for_exit(0.0)
         if code != -9:
             self.fleet.ended_by_plan.discard(name)
@@ -218,7 +218,7 @@
         """Count hanging dials at the processes that dial: their sockets are in the state SYN_SENT."""
         addresses = {self.fleet.links[id_] for id_ in self._link_sides}
         diallers = {id_.split(">")[0] for id_ in self._link_sides}
-        pids = [self.fleet.child(name).pid for name in diallers if name != "c"]
+        pids = [self.fleet.process_by_name(name).pid for name in diallers if name != "c"]
         pids += [self.fleet.clients.pid] if "c" in diallers else []
         while True:
             for pid in pids:
--- a/client_proxy/fault_injection/fleet.py
+++ b/client_proxy/fault_injection/fleet.py
@@ -123,7 +123,7 @@
         clock_faults = [f for f in plan.fault if f.kind == "clock"]
         self._clock_instances = {name for fault in clock_faults for name in fault.who}
 
-    def child(self, name: str) -> Child:
+    def process_by_name(self, name: str) -> Child:
         if name == "d":
             return self.discovery
         return self.racks.get(name) or self.instances[name]
@@ -240,7 +240,9 @@
         self.record_state(name, "listening")
 
     def record_state(self, who: str, state: str, **more: Any) -> None:
-        self.history.write("state", time.monotonic(), who=who, state=state, pid=self.child(who).pid, **more)
+        self.history.write(
+            "state", time.monotonic(), who=who, state=state, pid=self.process_by_name(who).pid, **more
+        )
 
     # Files
 
@@ -348,8 +350,11 @@
         text = content.decode()
         # Without the file's own version line, since the agreement numbers the versions.
         tables = text[: text.index("[end]")].split("\n", 1)[1]
-        head = f"[policy]\nattempts = {policy['attempts']}\n{self._class_tables()}\n{policy['features']}\n{tables}"
-        return head.encode()
+        with_policy = (
+            f"[policy]\nattempts = {policy['attempts']}\n{self._class_tables()}\n"
+            f"{policy['features']}\n{tables}"
+        )
+        return with_policy.encode()
 
     def store_unknown_version(self, name: str) -> int:
         """Store a version that no acceptor knows at an instance, like a backup of another fleet.
--- a/client_proxy/fault_injection/in_process_faults.py
+++ b/client_proxy/fault_injection/in_process_faults.py
@@ -285,12 +285,12 @@
 def main() -> None:
     arguments = sys.argv[1:]
     separator = arguments.index("--")
-    own, module, module_arguments = (
+    launcher_args, module, module_arguments = (
         arguments[:separator],
         arguments[separator + 1],
         arguments[separator + 2 :],
     )
-    options = dict(zip(own[::2], own[1::2], strict=True))
+    options = dict(zip(launcher_args[::2], launcher_args[1::2], strict=True))
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     if os.getppid() != int(options["--parent"]):
         # The parent died before the request above.
--- a/client_proxy/fault_injection/scenario_runner.py
+++ b/client_proxy/fault_injection/scenario_runner.py
@@ -1,7 +1,8 @@
-"""Plays a plan: starts the fleet and its load, carries the faults out, ends all of it, and gives a verdict.
+"""Runs a plan: starts the fleet and its load, injects the faults, ends everything, and gives a verdict.
 
-A drill waits for events, never for a time that should be enough: a process listens, a probe is answered, a
-line stands in a log, a state stands in /proc. The plan's own moments are the only times."""
+A drill waits for events and never for a time that should suffice: a process listens, a probe is answered, a
+log has a line, /proc shows a state. Only the times in the plan are waited for.
+"""
 
 from __future__ import annotations
 
@@ -30,21 +31,33 @@
 from client_proxy.fault_injection.fleet import Fleet
 from client_proxy.fault_injection.plan import INSTANT_KINDS, Plan, format_plan
 
-MARGIN_S = 2.0  # of load, past the moment from which service has to be whole
-START_S = 60.0  # within which all have to be ready
-REST_S = 0.5
-WATCH_S = 0.05
-MAX_MEAN_LATENESS_S = 0.1  # a mean lateness of the rig's own timers from which on it gives no verdict
-MAX_LATENESS_S = 1.0  # and a single one
-ENDS_S = 3.0  # past the longest deadline, after SIGTERM
+MARGIN_S = 2.0  # load after the time by which service has to be restored
+START_TIMEOUT_S = 60.0  # longest wait for all instances to be ready
+REST_S = 0.5  # without load, before descriptors are counted again
+POLL_S = 0.05  # between two looks at processes and logs
+MAX_MEAN_LATENESS_S = 0.1  # mean lateness of the drill's own timers above which there is no verdict
+MAX_LATENESS_S = 1.0  # likewise, the largest lateness
+END_MARGIN_S = 3.0  # time that an instance has after SIGTERM beyond the longest deadline
 
-Say = Callable[[str], object]
+Report = Callable[[str], object]
 
 
 @dataclass
 class Verdict:
-    """What a drill found. `outcome`: `passed`, `failed` (the program broke a rule), `error` (the drill did
-    not do what the plan says) or `refused` (the machine was too busy to tell)."""
+    """The result of a drill.
+
+    Attributes:
+        plan: The plan's name.
+        seed: The plan's seed.
+        outcome: `passed`; `failed`: the program broke a rule; `error`: the drill did not do what the plan
+            says; `refused`: the machine was too busy for a verdict.
+        why: The reason of any other outcome than `passed`.
+        breaches: The broken rules.
+        figures: What clients got, and how changes went.
+        lateness: How late the timers of the drill's own processes were.
+        took_s: Seconds that the drill took.
+        folder: Its folder.
+    """
 
     plan: str
     seed: int
@@ -64,28 +77,28 @@
 
 
 class Drill:
-    """One run of a plan, in a folder that is new."""
+    """One run of a plan, in a new folder."""
 
-    def __init__(self, plan: Plan, folder: Path, say: Say) -> None:
-        self.plan, self.folder, self._say = plan, folder, say
+    def __init__(self, plan: Plan, folder: Path, report: Report) -> None:
+        self.plan, self.folder, self._report = plan, folder, report
         self.fleet = Fleet(plan, folder)
         self._start_s = 0.0
         self._lateness: dict[str, Any] = {}
-        self._late: dict[str, Any] = {}
+        self._lateness_by_process: dict[str, Any] = {}
 
     async def play(self) -> None:
-        """Raises RigError."""
+        """Run the plan. Raises RigError if the drill cannot do what the plan says."""
         fleet = self.fleet
         await fleet.start()
         await self._begin_load()
         await self._until_ready()
         for name in fleet.instances:
-            self._look(name)
-        watching = asyncio.create_task(self._watch())
+            self._record_resources(name)
+        watch_task = asyncio.create_task(self._watch_for_crashes())
         self._start_s = time.monotonic()
         fleet.history.write("begin", self._start_s)
-        faults = [Fault(fleet, number, stated) for number, stated in enumerate(self.plan.fault)]
-        tasks = [asyncio.create_task(self._carry_out(fault)) for fault in faults]
+        faults = [Fault(fleet, number, spec) for number, spec in enumerate(self.plan.fault)]
+        tasks = [asyncio.create_task(self._inject(fault)) for fault in faults]
         try:
             await asyncio.gather(*tasks)
             await self._sleep_until(self.plan.length_s)
@@ -99,14 +112,14 @@
                 await fault.abandon()
         await self._end_load()
         await record_versions(fleet)
-        watching.cancel()
+        watch_task.cancel()
         await self._end_instances()
-        befallen = {name for fault in self.plan.fault for name in fault.who}
-        racks = [helper for name, helper in fleet.racks.items() if name not in befallen]
-        for helper in (fleet.wires, fleet.clients, *racks):
+        affected = {name for fault in self.plan.fault for name in fault.who}
+        unaffected_racks = [helper for name, helper in fleet.racks.items() if name not in affected]
+        for helper in (fleet.wires, fleet.clients, *unaffected_racks):
             if helper.up:
-                told = self._late[helper.name] = await helper.ask("late")
-                fleet.history.write("late", time.monotonic(), who=helper.name, worst_s=told["worst_s"])
+                late = self._lateness_by_process[helper.name] = await helper.ask("late")
+                fleet.history.write("late", time.monotonic(), who=helper.name, worst_s=late["worst_s"])
 
     async def _sleep_until(self, at_s: float) -> None:
         await asyncio.sleep(max(0.0, self._start_s + at_s - time.monotonic()))
@@ -126,68 +139,73 @@
         )
 
     async def _until_ready(self) -> None:
-        end_s = time.monotonic() + START_S
-        while time.monotonic() < end_s:
+        deadline_s = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline_s:
             ready = (await self.fleet.clients.ask("look"))["ready"]
             if len(ready) == len(self.fleet.instances):
                 return
             for name, child in self.fleet.instances.items():
                 if not child.up:
                     raise RigError(f"{name}: ended before it was ready: {child.last_line()}")
-            await asyncio.sleep(WATCH_S)
-        raise RigError(f"not all instances are ready after {START_S:g} s")
-
-    async def _carry_out(self, fault: Fault) -> None:
-        stated = fault.spec
-        if stated.when is not None:
-            await self._line(stated.when.of, stated.when.log, stated.when.within_s)
-            await asyncio.sleep(stated.at_s)
+            await asyncio.sleep(POLL_S)
+        raise RigError(f"not all instances are ready after {START_TIMEOUT_S:g} s")
+
+    async def _inject(self, fault: Fault) -> None:
+        spec = fault.spec
+        if spec.when is not None:
+            await self._wait_for_log_line(spec.when.of, spec.when.log, spec.when.within_s)
+            await asyncio.sleep(spec.at_s)
         else:
-            await self._sleep_until(stated.at_s)
-        self._say(f"{time.monotonic() - self._start_s:6.2f} s  {stated.label()}")
+            await self._sleep_until(spec.at_s)
+        self._report(f"{time.monotonic() - self._start_s:6.2f} s  {spec.label()}")
         await fault.begin()
-        if stated.for_s:
-            await asyncio.sleep(stated.for_s)
+        if spec.for_s:
+            await asyncio.sleep(spec.for_s)
             await fault.revert()
-            self._say(f"{time.monotonic() - self._start_s:6.2f} s  put right: {stated.label()}")
-        elif stated.kind in INSTANT_KINDS:
+            self._report(f"{time.monotonic() - self._start_s:6.2f} s  put right: {spec.label()}")
+        elif spec.kind in INSTANT_KINDS:
             fault.end_s = time.monotonic()
         else:
-            # It lasts: what has to be seen of it is seen at the plan's end.
+            # The fault lasts to the plan's end, and its evidence is collected then.
             await self._sleep_until(self.plan.length_s)
-            if stated.kind not in ("kill", "term", "stop", "bad-start", "lost-disk"):
+            if spec.kind not in ("kill", "term", "stop", "bad-start", "lost-disk"):
                 await fault.revert()
             fault.end_s = time.monotonic()
         self.fleet.history.write(
-            "fault", fault.begin_s, n=fault.number, what=stated.kind, who=list(stated.who),
-            to=list(stated.to), begin=round(fault.begin_s, 6), end=round(fault.end_s, 6), seen=fault.evidence,
+            "fault", fault.begin_s, n=fault.number, what=spec.kind, who=list(spec.who),
+            to=list(spec.to), begin=round(fault.begin_s, 6), end=round(fault.end_s, 6), seen=fault.evidence,
         )  # fmt: skip
 
-    async def _line(self, of: str, text: str, within_s: float) -> None:
-        log = self.fleet.child(of).log
-        skip = log.stat().st_size if log.exists() else 0
-        end_s = time.monotonic() + within_s
-        while time.monotonic() < end_s:
+    async def _wait_for_log_line(self, process: str, text: str, within_s: float) -> None:
+        log = self.fleet.process_by_name(process).log
+        log_size = log.stat().st_size if log.exists() else 0
+        deadline_s = time.monotonic() + within_s
+        while time.monotonic() < deadline_s:
             with suppress(OSError), log.open("rb") as file:
-                file.seek(skip)
+                file.seek(log_size)
                 if text.encode() in file.read():
                     return
-            await asyncio.sleep(WATCH_S)
-        raise RigError(f"{of} never said {text!r}")
+            await asyncio.sleep(POLL_S)
+        raise RigError(f"{process}: no log line with {text!r} within {within_s:g} s")
 
-    async def _watch(self) -> None:
-        """Who ends by itself."""
-        told: set[int] = set()
+    async def _watch_for_crashes(self) -> None:
+        """Record instances that end by themselves."""
+        recorded_pids: set[int] = set()
         while True:
             for name, child in self.fleet.instances.items():
-                if child.process is None or child.up or child.pid in told or name in self.fleet.ended_by_plan:
+                if (
+                    child.process is None
+                    or child.up
+                    or child.pid in recorded_pids
+                    or name in self.fleet.ended_by_plan
+                ):
                     continue
-                told.add(child.pid)
+                recorded_pids.add(child.pid)
                 code = child.process.returncode
                 self.fleet.record_state(name, "crashed", code=code, said=child.last_line())
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(POLL_S)
 
-    def _look(self, name: str, rested: bool = False) -> None:
+    def _record_resources(self, name: str, rested: bool = False) -> None:
         pid = self.fleet.instances[name].pid
         self.fleet.history.write(
             "look", time.monotonic(), who=name, pid=pid, fds=descriptors(pid), rss_kb=resident_kb(pid),
@@ -201,12 +219,15 @@
         await asyncio.sleep(REST_S)
         for name, child in self.fleet.instances.items():
             if child.up and process_state(child.pid) != "T":
-                self._look(name, rested=True)
+                self._record_resources(name, rested=True)
 
     async def _end_instances(self) -> None:
-        """In order: SIGTERM to all, and none hangs. Who is stopped can't be asked, and is killed."""
+        """Send SIGTERM to all instances, and record those that hang.
+
+        Stopped ones can't handle the signal and are killed later.
+        """
         fleet = self.fleet
-        within_s = self.plan.load.deadline_ms / 1000.0 + ENDS_S
+        within_s = self.plan.load.deadline_ms / 1000.0 + END_MARGIN_S
         for name, child in fleet.instances.items():
             if child.up and process_state(child.pid) != "T":
                 fleet.ended_by_plan.add(name)
@@ -218,43 +239,57 @@
                 fleet.record_state(name, "hangs")
 
     async def end(self) -> None:
-        pids = [(child.name, child.pid) for child in self._all() if child.pid]
+        pids = [(child.name, child.pid) for child in self._children() if child.pid]
         await self.fleet.end()
         for name, pid in pids:
-            # Ours to wait for, and waited for: a number that is still there is a process left behind.
+            # All children have been waited for, so an id that still exists is a process left behind.
             if os.path.exists(f"/proc/{pid}") and process_state(pid) not in ("", "Z"):
                 raise RigError(f"{name}: process {pid} is still there")
 
-    def _all(self) -> list[Any]:
+    def _children(self) -> list[Any]:
         fleet = self.fleet
         helpers = (fleet.clients, fleet.discovery, fleet.wires)
         return [*fleet.instances.values(), *fleet.racks.values(), *helpers]
 
     def lateness(self) -> dict[str, Any]:
-        return self._late
+        return self._lateness_by_process
 
     def records(self) -> list[history.Record]:
-        found = history.merged(p for p in self.folder.glob("*.jsonl") if p.name != "history.jsonl")
-        begun = [r["t"] for r in found if r["kind"] == "begin"]
-        if begun:
+        records = history.merged(p for p in self.folder.glob("*.jsonl") if p.name != "history.jsonl")
+        begin_times_s = [r["t"] for r in records if r["kind"] == "begin"]
+        if begin_times_s:
             offset_s = time.time() - time.monotonic()
-            bent = {name for fault in self.plan.fault if fault.kind == "clock" for name in fault.who}
+            clock_adjusted = {
+                name for fault in self.plan.fault if fault.kind == "clock" for name in fault.who
+            }
             for name, child in self.fleet.instances.items():
-                found += log_records(name, child.log, begun[0], offset_s, name in bent)
-        return sorted(found, key=lambda record: float(record["t"]))
+                records += log_records(name, child.log, begin_times_s[0], offset_s, name in clock_adjusted)
+        return sorted(records, key=lambda record: float(record["t"]))
+
+
+def log_records(
+    name: str, log: Path, begin_s: float, offset_s: float, clock_adjusted: bool
+) -> list[history.Record]:
+    """Return an instance's log lines as records.
 
+    A line with a time of day gets that time. Other lines get the time of the line before, and the first one
+    `begin_s`; so do all lines of an instance whose clock a fault changes.
 
-def log_records(name: str, log: Path, begun_s: float, offset_s: float, bent: bool) -> list[history.Record]:
-    """An instance's log. Lines with a time of day stand at that time, `offset_s` off the history's clock;
-    others, and all of one whose clock a fault bends, follow the one before, the first at `begun_s`."""
+    Args:
+        name: The instance.
+        log: Its log file.
+        begin_s: When the load began.
+        offset_s: The time of day minus the history's clock.
+        clock_adjusted: A fault changes the instance's clock.
+    """
     if not log.exists():
         return []
     records: list[history.Record] = []
-    t = begun_s
+    t = begin_s
     for line in log.read_text(errors="replace").splitlines():
         if not line.strip():
             continue
-        if not bent:
+        if not clock_adjusted:
             with suppress(ValueError, KeyError, TypeError):
                 t = datetime.fromisoformat(json.loads(line)["timestamp"]).timestamp() - offset_s
         records.append({"kind": "log", "t": round(t, 6), "who": name, "line": line[:2000]})
@@ -262,11 +297,11 @@
 
 
 def judge(plan: Plan, records: list[history.Record], late: dict[str, Any]) -> Verdict:
-    """From the history alone: what `replay` does again for a folder that was handed on."""
+    """Return the verdict on a history; `late` is the lateness of the drill's own processes."""
     worst_s = max((each["worst_s"] for each in late.values()), default=0.0)
     mean_s = max((each["mean_s"] for each in late.values()), default=0.0)
     breaches = sorted(
-        [*invariants.check(plan, records), *versions.versions(plan, records)], key=lambda b: b.t
+        [*invariants.check(plan, records), *versions.check_versions(plan, records)], key=lambda b: b.t
     )
     figures = invariants.figures(plan, records)
     if plan.fleet.seats:
@@ -276,27 +311,30 @@
         verdict.outcome = "refused"
         verdict.why = f"the rig's own timers were late by {mean_s:.3f} s, {worst_s:.2f} s at worst"
         return verdict
-    unheld = invariants.held(plan, records)
-    if unheld:
-        verdict.outcome, verdict.why = "error", unheld[0]
+    drill_errors = invariants.drill_errors(plan, records)
+    if drill_errors:
+        verdict.outcome, verdict.why = "error", drill_errors[0]
         return verdict
-    new = [rule for rule in verdict.rules() if rule not in plan.aim.expect]
+    unexpected = [rule for rule in verdict.rules() if rule not in plan.aim.expect]
     missing = [rule for rule in plan.aim.expect if rule not in verdict.rules()]
-    if new:
+    if unexpected:
         verdict.outcome = "failed"
-        verdict.why = f"broken: {', '.join(new)}"
+        verdict.why = f"broken: {', '.join(unexpected)}"
     elif missing:
         verdict.outcome = "failed"
         verdict.why = f"known to break, and did not: {', '.join(missing)}: take it out of `expect`"
     return verdict
 
 
-async def run(plan: Plan, folder: Path, say: Say = lambda _: None) -> Verdict:
-    """Play it in `folder`, which must not be there yet. Never raises for what the program or the rig does."""
+async def run(plan: Plan, folder: Path, report: Report = lambda _: None) -> Verdict:
+    """Run a plan in a folder that must not exist yet.
+
+    Failures of the program or of the drill are in the verdict and never raised.
+    """
     begin_s = time.monotonic()
     folder.mkdir(parents=True)
     (folder / "plan.toml").write_text(format_plan(plan))
-    drill = Drill(plan, folder, say)
+    drill = Drill(plan, folder, report)
     error = ""
     try:
         await drill.play()
@@ -320,19 +358,22 @@
 
 
 def judge_folder(folder: Path) -> Verdict:
-    """The verdict of a folder, from its plan and history, by the checkers of this version. Raises OSError,
-    ValueError or TomlError where it is not one."""
+    """Return the verdict on a drill's folder, from its plan and history, by the rules of this version.
+
+    Raises:
+        OSError, ValueError, TomlError: It is not the folder of a drill.
+    """
     from client_proxy.fault_injection.plan import load
 
     plan = load(folder / "plan.toml")
-    said = json.loads((folder / "verdict.json").read_text())
-    verdict = judge(plan, list(history.read(folder / "history.jsonl")), said["lateness"])
-    if said["outcome"] == "error":
-        verdict.outcome, verdict.why = "error", said["why"]
-    verdict.took_s, verdict.folder = said["took_s"], str(folder)
+    stored = json.loads((folder / "verdict.json").read_text())
+    verdict = judge(plan, list(history.read(folder / "history.jsonl")), stored["lateness"])
+    if stored["outcome"] == "error":
+        verdict.outcome, verdict.why = "error", stored["why"]
+    verdict.took_s, verdict.folder = stored["took_s"], str(folder)
     return verdict
 
 
 def remove_folder(folder: Path) -> None:
-    """A drill that passed leaves nothing that anybody needs."""
+    """Remove the folder of a drill that passed."""
     shutil.rmtree(folder, ignore_errors=True)
--- a/client_proxy/fault_injection/servers.py
+++ b/client_proxy/fault_injection/servers.py
@@ -99,8 +99,8 @@
         state["sweeps"] = loop.create_task(sweep_periodically())
         return {
             "doors": {
-                server.name: [list(listener.address) for listener in server.listeners]
-                for server in simulation.servers.values()
+                rack_server.name: [list(listener.address) for listener in rack_server.listeners]
+                for rack_server in simulation.servers.values()
             }
         }
 
--- a/client_proxy/fault_injection/soak/__init__.py
+++ b/client_proxy/fault_injection/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The restart soak: seeded restarts of real proxies between scripted clients and servers, and their rules."""
+"""The restart soak: random restarts of real proxies between scripted clients and servers."""
--- a/client_proxy/fault_injection/soak/clients.py
+++ b/client_proxy/fault_injection/soak/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a restart soak: each opens one connection, and uses it until it ends."""
+"""The clients of the restart soak: each opens one connection and uses it until it ends."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from client_proxy.proxy.socket_state import SocketState
 
 READY_REQUEST = b"GET /ready HTTP/1.1\r\nHost: app.svc\r\n\r\n"
-MOST_AHEAD = 4  # requests that a pipelining client has without an answer
-SPARE_DESCRIPTORS = 256  # of the harness, beside its idle connections
+MAX_PIPELINED = 4  # most unanswered requests of a pipelining client
+SPARE_DESCRIPTORS = 256  # descriptors of the harness beside its idle connections
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client: it sends its plan's requests, and records what becomes of each."""
+    """One connection of a client, which sends its plan's requests and records their outcomes."""
 
     def __init__(self, plan: ClientPlan, classes: dict[str, ClassPlan], history: History) -> None:
         self._plan, self._classes, self._history = plan, classes, history
         self._parser = httptools.HttpResponseParser(self)
         self._transport: Any = None
         self._socket_state: SocketState | None = None
-        self._waiting: deque[SentRequest] = deque()
+        self._unanswered: deque[SentRequest] = deque()
         self._answered = asyncio.Event()
         self._body = b""
         self.ended = False
@@ -55,17 +55,17 @@
         self._body += body
 
     def on_message_complete(self) -> None:
-        """Record an answer to the oldest request that waits for one."""
+        """Record an answer, to the oldest unanswered request."""
         at_s = asyncio.get_running_loop().time()
-        if self._socket_state is not None:  # when it came, not when this process had the time to read it
+        if self._socket_state is not None:  # the time of arrival, not of reading
             at_s -= self._socket_state.ms_since_last_data() / 1000.0
         status = self._parser.get_status_code()
         if status == 100:
             return
-        if not self._waiting:
-            self._history.unasked.append((at_s, self._plan.number))
+        if not self._unanswered:
+            self._history.unexpected_answers.append((at_s, self._plan.number))
             return
-        self._waiting.popleft().answers.append(Answer(at_s, status, self._body))
+        self._unanswered.popleft().answers.append(Answer(at_s, status, self._body))
         self._answered.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -74,7 +74,7 @@
             self._record_end()
 
     def eof_received(self) -> bool:
-        """Record that the proxy has ended the connection; returns False: the client ends its side too."""
+        """Record that the proxy has ended the connection. Returns False: the client closes too."""
         if not self.ended:
             self._record_end()
         return False
@@ -82,28 +82,28 @@
     def _record_end(self) -> None:
         self.ended = True
         at_s = asyncio.get_running_loop().time()
-        for request in self._waiting:
+        for request in self._unanswered:
             request.connection_ended_s = at_s
-        self._waiting.clear()
+        self._unanswered.clear()
         self._answered.set()
 
     def leave(self) -> None:
-        """Close the connection, with whatever still waits on it."""
+        """Close the connection, with the requests that are still unanswered."""
         if self.ended:
             return
         self.ended = True
         at_s = asyncio.get_running_loop().time()
-        for request in self._waiting:
+        for request in self._unanswered:
             request.left_s = at_s
-        self._waiting.clear()
+        self._unanswered.clear()
         self._answered.set()
         self._transport.close()
 
     async def use(self) -> None:
         """Send the plan's requests until the connection has ended."""
-        ahead = MOST_AHEAD if self._plan.kind is ClientKind.PIPELINED else 1
+        max_unanswered = MAX_PIPELINED if self._plan.kind is ClientKind.PIPELINED else 1
         for number, planned in enumerate(self._plan.requests):
-            while not self.ended and len(self._waiting) >= ahead:
+            while not self.ended and len(self._unanswered) >= max_unanswered:
                 self._answered.clear()
                 await self._answered.wait()
             await asyncio.sleep(planned.think_s)
@@ -122,7 +122,7 @@
             expires_s=planned.expires_s,
         )
         self._history.requests[trace_id] = request
-        self._waiting.append(request)
+        self._unanswered.append(request)
         data = encode_request(trace_id, planned, self._classes[planned.class_name])
         pieces = split(data, len(planned.piece_gaps_s) + 1)
         for piece, gap_s in zip(pieces, (*planned.piece_gaps_s, 0.0), strict=True):
@@ -136,13 +136,13 @@
             loop.call_later(planned.leave_after_s, self._leave_if_waiting, request)
 
     def _leave_if_waiting(self, request: SentRequest) -> None:
-        if request in self._waiting:
+        if request in self._unanswered:
             self.leave()
 
 
-def encode_request(trace_id: str, planned: RequestPlan, cls: ClassPlan) -> bytes:
-    """Return a request as the platform's clients word it."""
-    idempotent = cls.idempotency is Idempotency.IDEMPOTENT
+def encode_request(trace_id: str, planned: RequestPlan, request_class: ClassPlan) -> bytes:
+    """Return the bytes of a request in the format of the platform's clients."""
+    idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
     body = b"" if idempotent else b"form"
     lines = [
         f"{'GET' if idempotent else 'POST'} /{planned.class_name}/{trace_id} HTTP/1.1",
@@ -150,7 +150,7 @@
         f"X-Trace-Id: {trace_id}",
         f"X-Expires-In-Ms: {max(1, int(1000.0 * planned.expires_s))}",
     ]
-    if cls.idempotency is Idempotency.IDEMPOTENCY_KEY:
+    if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
         lines.append(f"Idempotency-Key: {trace_id}")
     if not idempotent:
         lines.append(f"Content-Length: {len(body)}")
@@ -158,23 +158,23 @@
 
 
 def split(data: bytes, count: int) -> list[bytes]:
-    """Return the data in so many pieces of about one length."""
+    """Split the data into `count` pieces of about the same length."""
     size = -(-len(data) // count)
     return [data[number * size : (number + 1) * size] for number in range(count)]
 
 
 class IdleCrowd:
-    """Connections that ask once whether the proxy is ready, and then rest."""
+    """Connections that send one readiness probe each and then stay idle."""
 
     def __init__(self, count: int, address: tuple[str, int]) -> None:
         self._count, self._address = count, address
         self._sockets: list[socket.socket] = []
 
     async def connect(self) -> None:
-        """Open the connections; those that the proxy shuts unread are not opened again."""
-        now, most = resource.getrlimit(resource.RLIMIT_NOFILE)
-        wanted = max(now, self._count + SPARE_DESCRIPTORS)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (min(most, wanted), most))
+        """Open the connections. One that the proxy closes without reading is not opened again."""
+        soft_limit, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+        needed = max(soft_limit, self._count + SPARE_DESCRIPTORS)
+        resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard_limit, needed), hard_limit))
         loop = asyncio.get_running_loop()
         for _ in range(self._count):
             sock = socket.socket()
--- a/client_proxy/fault_injection/soak/command.py
+++ b/client_proxy/fault_injection/soak/command.py
@@ -1,4 +1,4 @@
-"""`client-proxy drill soak`: restarts of real proxies by seeds, one after the other or side by side."""
+"""`client-proxy drill soak`: random restarts of real proxies, one or several at a time."""
 
 from __future__ import annotations
 
@@ -14,13 +14,18 @@
 
 
 @click.command("soak")
-@click.option("--seeds", default=50, show_default=True, help="How many runs, each with a seed of its own.")
+@click.option("--seeds", default=50, show_default=True, help="Number of runs, each with its own seed.")
 @click.option(
-    "--first", default=1, show_default=True, help="Seed of the first; the next have the next numbers."
+    "--first",
+    default=1,
+    show_default=True,
+    help="Seed of the first run; each further run has the next number.",
+)
+@click.option(
+    "--jobs", default=1, show_default=True, help="Runs at the same time; each needs one and a half cores."
 )
-@click.option("--jobs", default=1, show_default=True, help="Runs at a time; each takes a core and a half.")
 def soak(seeds: int, first: int, jobs: int) -> None:
-    """Restart proxies under signals, stops and faults, by seeds. Exit code 1 if a rule was broken."""
+    """Restart proxies under random signals, stops and faults. Exit code 1 if a rule was broken."""
     verdicts = asyncio.run(play_all(range(first, first + seeds), jobs))
     counts = {name: sum(v.outcome == name for v in verdicts) for name in ("passed", "failed", "refused")}
     click.echo(", ".join(f"{count} {name}" for name, count in counts.items()))
@@ -28,30 +33,30 @@
 
 
 async def play_all(seeds: range, jobs: int) -> list[Verdict]:
-    """Play the runs of these seeds, `jobs` at a time, and print each verdict."""
+    """Run these seeds, `jobs` at a time, and print each verdict."""
     folder = Path(tempfile.mkdtemp(prefix="soak-"))
-    left = list(seeds)
+    remaining_seeds = list(seeds)
     verdicts: list[Verdict] = []
 
-    async def work() -> None:
-        while left:
-            seed = left.pop(0)
+    async def play_remaining() -> None:
+        while remaining_seeds:
+            seed = remaining_seeds.pop(0)
             verdict = await play(seed, folder / str(seed))
             verdicts.append(verdict)
             show(verdict)
 
     try:
-        await asyncio.gather(*(work() for _ in range(jobs)))
+        await asyncio.gather(*(play_remaining() for _ in range(jobs)))
     finally:
         shutil.rmtree(folder, ignore_errors=True)
     return verdicts
 
 
 def show(verdict: Verdict) -> None:
-    """Print a verdict, and each breach."""
+    """Print a verdict and its breaches."""
     click.echo(
         f"seed {verdict.seed}: {verdict.outcome}: {verdict.served} of {verdict.requests} requests served, "
-        f"harness late by {1000.0 * verdict.lateness_s:.0f} ms at the most"
+        f"harness timers late by at most {1000.0 * verdict.lateness_s:.0f} ms"
     )
     for breach in verdict.breaches:
         click.echo(f"  {breach.rule}: {breach.what}")
--- a/client_proxy/fault_injection/soak/rules.py
+++ b/client_proxy/fault_injection/soak/rules.py
@@ -1,4 +1,4 @@
-"""What holds of every run of the restart soak."""
+"""The rules that every run of the restart soak is checked against."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from client_proxy.fault_injection.soak.history import Arrival, History, SentRequest, Treatment
 from client_proxy.fault_injection.soak.schedule import ClassPlan, Schedule
 
-LATE_ANSWER_S = 0.5  # past its time an answer earns nothing; past this it is lost
-LEFT_CLIENT_S = 0.1  # so long after its client has gone nothing is sent for a request
-TOLD_TIME_SLACK_S = 0.15
+LATE_ANSWER_S = 0.5  # an answer is useless after its deadline, and a breach if it is later by more than this
+LEFT_CLIENT_S = 0.1  # after a client has closed its connection its requests may still be sent for this time
+TIME_LEFT_SLACK_S = 0.15  # tolerance of the time left that an attempt states
 SERVED = 200
-# An end of a connection and a request on it cross on the wire, where the request was written no more than
-# this before the client could read of the end: neither side can know of the other's (RFC 9112, 9.3.1).
-# A client that is itself late reads of it later by as much.
+# A request and the close of its connection may cross on the wire, if the request was written no more than
+# this before the client could read the close: neither side can know of the other's (RFC 9112, 9.3.1). A
+# client whose timers are late reads the close later by as much.
 CROSSING_S = 0.02
-MORE_DESCRIPTORS = 2  # at rest than before: a reconnection to discovery may be on
+EXTRA_DESCRIPTORS = 2  # allowed beyond those at the start: a reconnection to discovery may be in progress
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,48 +32,48 @@
 
 
 def check(schedule: Schedule, history: History) -> list[Breach]:
-    """Return all breaches of all rules."""
+    """Return the breaches of all rules."""
     return [Breach(name, what) for name, rule in RULES.items() for what in rule(schedule, history)]
 
 
 def _one_answer(schedule: Schedule, history: History) -> Iterator[str]:
-    """Each request that a server saw, or that came on an open connection, gets exactly one final answer."""
-    seen = {arrival.trace_id for arrival in history.arrivals}
+    """Each request that a server read, or that came on an open connection, gets exactly one final answer."""
+    seen_ids = {arrival.trace_id for arrival in history.arrivals}
     for request in history.requests.values():
         if len(request.answers) > 1:
             yield f"{request.trace_id}: {len(request.answers)} final answers"
         if request.answers or request.left_s is not None:
             continue
-        if request.trace_id in seen:
-            yield f"{request.trace_id}: no answer, though a server saw it; {_times(request)}"
+        if request.trace_id in seen_ids:
+            yield f"{request.trace_id}: no answer, though a server saw it; {_describe_times(request)}"
         elif (
             request.sent_s is not None
             and not _crossed(history, request)
-            and not _shut_unread(schedule, request)
+            and not _may_be_closed_unread(schedule, request)
         ):
-            yield f"{request.trace_id}: no answer, though it came on an open connection; {_times(request)}"
-    for at_s, connection in history.unasked:
+            yield f"{request.trace_id}: no answer, though it came on an open connection; {_describe_times(request)}"
+    for at_s, connection in history.unexpected_answers:
         yield f"connection {connection}: an answer to no request at {at_s:.3f} s"
     for at_s, connection in history.malformed:
         yield f"connection {connection}: no HTTP at {at_s:.3f} s"
 
 
 def _own_answer(schedule: Schedule, history: History) -> Iterator[str]:
-    """What a server answered is the answer to this request: servers answer with its trace id."""
+    """Each answer of a server belongs to its request: servers answer with the trace id."""
     for request in history.requests.values():
         for answer in request.answers:
             if answer.status == SERVED and answer.body != request.trace_id.encode():
                 yield f"{request.trace_id}: got the answer {answer.body[:60]!r}"
 
 
-def _accepts(schedule: Schedule, history: History) -> Iterator[str]:
-    """New connections are taken up to the end of the schedule's, unless a crowd fills the descriptors."""
+def _accepts_connections(schedule: Schedule, history: History) -> Iterator[str]:
+    """New connections are accepted as long as the schedule opens some, unless idle ones use up descriptors."""
     if not schedule.crowd:
-        for at_s in history.turned_away:
+        for at_s in history.refused_connections_s:
             yield f"a connection was turned away at {at_s:.3f} s"
 
 
-def _times(request: SentRequest) -> str:
+def _describe_times(request: SentRequest) -> str:
     if request.sent_s is None or request.connection_ended_s is None:
         return "not sent whole, or its connection did not end"
     before_s = request.connection_ended_s - request.sent_s
@@ -81,33 +81,33 @@
 
 
 def _crossed(history: History, request: SentRequest) -> bool:
-    """Whether the request and the end of its connection crossed."""
+    """Return whether the request and the close of its connection crossed on the wire."""
     ended_s, sent_s = request.connection_ended_s, request.sent_s
     if ended_s is None or sent_s is None:
         return False
     return sent_s > ended_s - CROSSING_S - history.worst_lateness_s
 
 
-def _shut_unread(schedule: Schedule, request: SentRequest) -> bool:
-    """Whether its connection may have been shut unread, as new ones may be under a crowd of idle ones."""
+def _may_be_closed_unread(schedule: Schedule, request: SentRequest) -> bool:
+    """Return whether its connection may have been closed unread, as allowed among many idle connections."""
     return schedule.crowd > 0 and request.first
 
 
 def _due_s(history: History) -> dict[str, float]:
-    """By trace id when the answer is due: answers come in order, so none before those ahead of it are due."""
+    """Return, by trace id, when the answer is due: not before those of earlier requests on its connection."""
     latest_s: dict[int, float] = {}
     due_s: dict[str, float] = {}
-    for request in history.requests.values():  # in the order in which they were sent
+    for request in history.requests.values():  # in the order of sending
         if request.sent_s is None:
             continue
-        own_s = request.sent_s + request.expires_s
-        due_s[request.trace_id] = max(own_s, latest_s.get(request.connection, own_s))
+        own_due_s = request.sent_s + request.expires_s
+        due_s[request.trace_id] = max(own_due_s, latest_s.get(request.connection, own_due_s))
         latest_s[request.connection] = due_s[request.trace_id]
     return due_s
 
 
 def _in_time(schedule: Schedule, history: History) -> Iterator[str]:
-    """No answer comes later than half a second past its time."""
+    """No answer is later than its deadline by more than half a second."""
     due_s = _due_s(history)
     for request in history.requests.values():
         for answer in request.answers:
@@ -117,6 +117,7 @@
 
 
 def _nothing_for_clients_that_left(schedule: Schedule, history: History) -> Iterator[str]:
+    """No attempt is sent for a client that has closed its connection."""
     for arrival in history.arrivals:
         request = history.requests.get(arrival.trace_id)
         if request is None or request.left_s is None:
@@ -126,21 +127,21 @@
             yield f"{arrival.trace_id}: sent to {arrival.server} {late_s:.3f} s after its client had left"
 
 
-def _told_time(schedule: Schedule, history: History) -> Iterator[str]:
-    """The time that an attempt tells is at most what is left to its client, and the slack."""
+def _stated_time_left(schedule: Schedule, history: History) -> Iterator[str]:
+    """The time left that an attempt states is at most what its client still waits, plus the tolerance."""
     for arrival in history.arrivals:
         request = history.requests.get(arrival.trace_id)
         if request is None or request.sent_s is None:
             yield f"{arrival.trace_id}: {arrival.server} saw a request that no client has sent"
             continue
         left_s = request.sent_s + request.expires_s - arrival.at_s
-        if arrival.told_s > left_s + TOLD_TIME_SLACK_S:
-            yield f"{arrival.trace_id}: told {arrival.told_s:.3f} s with {left_s:.3f} s left"
+        if arrival.stated_time_left_s > left_s + TIME_LEFT_SLACK_S:
+            yield f"{arrival.trace_id}: told {arrival.stated_time_left_s:.3f} s with {left_s:.3f} s left"
 
 
 def _repeats(schedule: Schedule, history: History) -> Iterator[str]:
-    """What may have run is repeated only as its class allows."""
-    classes = {cls.name: cls for cls in schedule.classes}
+    """A request that may have run is repeated only as its class allows."""
+    classes = {request_class.name: request_class for request_class in schedule.classes}
     by_request: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in history.arrivals:
         by_request[arrival.trace_id].append(arrival)
@@ -151,18 +152,20 @@
                 yield f"{trace_id} ({request.class_name}): repeated at {later.server}"
 
 
-def _forbidden_repeats(cls: ClassPlan, arrivals: list[Arrival]) -> Iterator[Arrival]:
-    if cls.idempotency is Idempotency.IDEMPOTENT:
+def _forbidden_repeats(request_class: ClassPlan, arrivals: list[Arrival]) -> Iterator[Arrival]:
+    if request_class.idempotency is Idempotency.IDEMPOTENT:
         return
-    ran = [arrival for arrival in arrivals if arrival.treatment is not Treatment.REFUSED]
-    for earlier, later in pairwise(ran):
-        deduplicated = earlier.cell == later.cell and later.at_s < ran[0].at_s + cls.window_s
-        if cls.idempotency is Idempotency.NOT_IDEMPOTENT or not deduplicated:
+    may_have_run = [arrival for arrival in arrivals if arrival.treatment is not Treatment.REFUSED]
+    for earlier, later in pairwise(may_have_run):
+        deduplicated = (
+            earlier.cell == later.cell and later.at_s < may_have_run[0].at_s + request_class.window_s
+        )
+        if request_class.idempotency is Idempotency.NOT_IDEMPOTENT or not deduplicated:
             yield later
 
 
-def _exit(schedule: Schedule, history: History) -> Iterator[str]:
-    """A proxy ends with 0 or by the kill; one that was asked to end while it started, by that signal too."""
+def _exit_code(schedule: Schedule, history: History) -> Iterator[str]:
+    """A proxy exits with 0 or by the harness's kill; by SIGTERM only if it got that while it started."""
     for end in history.ends:
         allowed = {0}
         if end.killed:
@@ -176,11 +179,11 @@
 
 
 def _resources(schedule: Schedule, history: History) -> Iterator[str]:
-    """Once its clients have gone, a proxy holds what it held before they came."""
+    """Without clients a proxy has no more descriptors and threads than before the first client."""
     if len(history.resources) < 2:
         return
     before, after = history.resources[0], history.resources[-1]
-    if after.descriptors > before.descriptors + MORE_DESCRIPTORS:
+    if after.descriptors > before.descriptors + EXTRA_DESCRIPTORS:
         yield f"{after.descriptors} descriptors at rest, {before.descriptors} at first"
     if after.threads > before.threads:
         yield f"{after.threads} threads at rest, {before.threads} at first"
@@ -191,11 +194,11 @@
 RULES: dict[str, Rule] = {
     "one answer": _one_answer,
     "own answer": _own_answer,
-    "accepts": _accepts,
+    "accepts": _accepts_connections,
     "in time": _in_time,
     "client left": _nothing_for_clients_that_left,
-    "told time": _told_time,
+    "told time": _stated_time_left,
     "repeats": _repeats,
-    "exit": _exit,
+    "exit": _exit_code,
     "resources": _resources,
 }
--- a/client_proxy/fault_injection/soak/runner.py
+++ b/client_proxy/fault_injection/soak/runner.py
@@ -1,4 +1,4 @@
-"""Plays one run of the restart soak against a real proxy process."""
+"""Carries out one run of the restart soak against a real proxy process."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 from client_proxy.fault_injection.soak.servers import ScriptedDiscovery, ScriptedServer
 
 MODULE, OPERATORS = "client_proxy.proxy", "deploy/platform.toml"
-READY_WITHIN_S = 30.0
-HOST, PORT = 240, 8080  # of the proxy, in the part of the loopback network that is this run's
-EARLY_END_WITHIN_S = 10.0
-LOOK_S = 0.01  # between two looks at what the system tells no event of
-START_SERIES_GAP_S = 0.01  # between two SIGHUPs to a proxy that starts
-ESTABLISHED, CLOSE_WAIT = "01", "08"  # states of /proc/net/tcp
-MOST_LATENESS_S = 0.25  # of the harness's own timers, past which it gives no verdict
+START_TIMEOUT_S = 30.0  # longest start of the proxy
+HOST, PORT = 240, 8080  # last number of the proxy's loopback address, and its port
+EARLY_END_TIMEOUT_S = 10.0  # longest end of a proxy that is terminated while it starts
+POLL_S = 0.01  # between two looks at a state that has no event, and period of the lateness timer
+START_SERIES_GAP_S = 0.01  # between two SIGHUPs to a proxy that is starting
+ESTABLISHED, CLOSE_WAIT = "01", "08"  # socket states in /proc/net/tcp
+MAX_LATENESS_S = 0.25  # lateness of the harness's own timers above which there is no verdict
 IDEMPOTENCY_NAMES = {
     Idempotency.IDEMPOTENT: "retryable",
     Idempotency.IDEMPOTENCY_KEY: "dedup",
@@ -54,15 +54,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a run found.
+    """The result of a run.
 
     Attributes:
-        seed: its seed.
-        outcome: `passed`, `failed`, or `refused` if the machine was too busy to tell.
-        requests: how many clients sent.
-        served: how many of them were answered with 200.
-        lateness_s: by which the harness's own timers were late at the most.
-        breaches: of the rules.
+        seed: Its seed.
+        outcome: `passed`, `failed`, or `refused` if the machine was too busy for a verdict.
+        requests: Number of requests that clients sent.
+        served: Number of requests that were answered with 200.
+        lateness_s: The largest lateness of the harness's own timers.
+        breaches: The broken rules.
     """
 
     seed: int
@@ -74,7 +74,7 @@
 
 
 class RestartRun:
-    """One run; used once, inside an event loop."""
+    """One run of a schedule. Used once, inside an event loop."""
 
     def __init__(self, schedule: Schedule, folder: Path) -> None:
         self.schedule, self.folder = schedule, folder
@@ -82,7 +82,7 @@
         self._classes = {cls.name: cls for cls in schedule.classes}
         self._servers = [ScriptedServer(plan, schedule.seed, self.history) for plan in schedule.servers]
         self._discoveries = [ScriptedDiscovery(self._servers) for _ in range(2)]
-        self._discovery = 0  # the one that the configuration names
+        self._discovery = 0  # index of the one in the proxy's configuration
         self._child = Child("proxy", folder)
         self._address = ("127.0.0.1", 0)
         self._start_s = 0.0
@@ -91,7 +91,7 @@
         self._crowd = IdleCrowd(schedule.crowd, self._address)
 
     async def play(self) -> None:
-        """Play the schedule; the history has what came of it. Raises RigError if the proxy does not start."""
+        """Carry out the schedule and fill the history. Raises RigError if the proxy does not start."""
         lateness = asyncio.create_task(self._watch_lateness())
         try:
             await self._listen()
@@ -100,7 +100,7 @@
             await self._start_proxy()
             self._begin_schedule()
             await self._first_phase()
-            await self._restart()
+            await self._await_end()
         finally:
             lateness.cancel()
             await self._clean_up()
@@ -114,7 +114,7 @@
             await server.listen()
         for discovery in self._discoveries:
             await discovery.listen()
-        # An address of this run's own: a free port of a shared one might be another run's by the time of use.
+        # Each run has its own address: a free port of a shared one could be taken by another run before use.
         self._address = (f"{loopback_prefix(self.schedule.seed)}.{HOST}", PORT)
         self._crowd = IdleCrowd(self.schedule.crowd, self._address)
 
@@ -143,39 +143,39 @@
         await self._begin_process()
         await asyncio.sleep(after_s)
         self._signal(signal.SIGTERM)
-        await self._child.wait_for_exit(EARLY_END_WITHIN_S)
+        await self._child.wait_for_exit(EARLY_END_TIMEOUT_S)
         await self._record_end(early=True)
 
     async def _start_proxy(self) -> None:
-        """Start the proxy that serves; from its own handler on, SIGHUP comes again and again."""
+        """Start the proxy that serves. It gets SIGHUPs from when it handles the signal until it is ready."""
         await self._begin_process()
-        await self._until(self._handles_hangup)
-        series = asyncio.create_task(self._hang_up_while_starting())
+        await self._wait_until(self._handles_hangup)
+        hangups = asyncio.create_task(self._send_hangups())
         try:
-            await self._child.wait_until_listening(self._address[1], READY_WITHIN_S)
-            await self._until_ready()
+            await self._child.wait_until_listening(self._address[1], START_TIMEOUT_S)
+            await self._wait_until_ready()
         finally:
-            series.cancel()
+            hangups.cancel()
         limit = (self.schedule.descriptors, self.schedule.descriptors)
         resource.prlimit(self._child.pid, resource.RLIMIT_NOFILE, limit)
         self._count_resources()
 
-    async def _until(self, holds: Callable[[], bool]) -> None:
-        """Wait for what the system tells no event of, or for the proxy's end."""
-        while self._child.up and not holds():  # noqa: ASYNC110 - a state in /proc, with no event to wait for
-            await asyncio.sleep(LOOK_S)
+    async def _wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait for a condition that has no event, or for the proxy's end."""
+        while self._child.up and not condition():  # noqa: ASYNC110 - a state in /proc, with no event to wait for
+            await asyncio.sleep(POLL_S)
 
-    async def _until_ready(self) -> None:
-        async with asyncio.timeout(READY_WITHIN_S):
+    async def _wait_until_ready(self) -> None:
+        async with asyncio.timeout(START_TIMEOUT_S):
             while self._child.up:
                 if await self._is_ready():
                     return
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
 
     def _handles_hangup(self) -> bool:
         return handles_signal(self._child.pid, signal.SIGHUP)
 
-    async def _hang_up_while_starting(self) -> None:
+    async def _send_hangups(self) -> None:
         while self._child.up:
             self._signal(signal.SIGHUP)
             await asyncio.sleep(START_SERIES_GAP_S)
@@ -204,13 +204,13 @@
             loop.call_at(self._start_s + at_s, self._signal, signal.SIGSTOP)
             loop.call_at(self._start_s + at_s + STOP_S, self._signal, signal.SIGCONT)
         loop.call_at(self._start_s + schedule.terminate_s, self._signal, signal.SIGTERM)
-        for each in schedule.series:
-            loop.call_at(self._start_s + each.at_s, self._signal_planned, each)
+        for planned in schedule.series:
+            loop.call_at(self._start_s + planned.at_s, self._signal_planned, planned)
         for plan in schedule.clients:
             self._spawn(self._run_client(plan))
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        self._tasks.append(asyncio.get_running_loop().create_task(work))
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        self._tasks.append(asyncio.get_running_loop().create_task(coroutine))
 
     async def _sleep_until(self, at_s: float) -> None:
         await asyncio.sleep(self._start_s + at_s - asyncio.get_running_loop().time())
@@ -240,7 +240,7 @@
                 lambda: ClientConnection(plan, self._classes, self.history), *self._address
             )
         except OSError:
-            self.history.turned_away.append(loop.time() - self._start_s)
+            self.history.refused_connections_s.append(loop.time() - self._start_s)
             return
         self._clients[connection] = plan
         await connection.use()
@@ -268,8 +268,8 @@
             threads = len(list(Path(f"/proc/{pid}/task").iterdir()))
             self.history.resources.append(ResourceCount(descriptors(pid) - len(upstream), threads))
 
-    async def _restart(self) -> None:
-        """Wait for the proxy's end, and kill it at the page's earliest."""
+    async def _await_end(self) -> None:
+        """Wait for the proxy's end, and kill it at the earliest time at which the platform would."""
         loop = asyncio.get_running_loop()
         await self._child.wait_for_exit(self._start_s + self.schedule.kill_s - loop.time())
         if self._child.up:
@@ -279,10 +279,10 @@
         await asyncio.gather(*self._tasks)
 
     async def _record_end(self, early: bool) -> None:
-        killed = self.history.killed_s is not None  # by the schedule: one that has to be killed early hangs
+        killed = self.history.killed_s is not None  # not true for an early termination that hangs
         if self._child.up:
             await self._child.kill()
-        code = await self._child.wait_for_exit(EARLY_END_WITHIN_S)
+        code = await self._child.wait_for_exit(EARLY_END_TIMEOUT_S)
         log = self._child.log.read_text(errors="replace")
         self._child.log.unlink()
         self.history.ends.append(ProcessEnd(code or 0, killed, early, log))
@@ -303,14 +303,14 @@
     async def _watch_lateness(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due_s = loop.time() + LOOK_S
-            await asyncio.sleep(LOOK_S)
+            due_s = loop.time() + POLL_S
+            await asyncio.sleep(POLL_S)
             late_s = loop.time() - due_s
             self.history.worst_lateness_s = max(self.history.worst_lateness_s, late_s)
 
 
 def platform_settings(schedule: Schedule) -> dict[str, Any]:
-    """Return the settings that the platform would give the proxy of this run."""
+    """Return the proxy's settings in the platform's format."""
     categories = [
         {
             "name": cls.name,
@@ -339,7 +339,7 @@
 
 
 async def play(seed: int, folder: Path) -> Verdict:
-    """Draw the run of this seed, play it in a new folder, and judge it. Raises RigError."""
+    """Draw the schedule of a seed, run it in a new folder, and return the verdict. Raises RigError."""
     folder.mkdir(parents=True)
     schedule = draw_schedule(seed, signal.SIGHUP, signal.SIGTERM)
     run = RestartRun(schedule, folder)
@@ -350,8 +350,10 @@
 def judge(schedule: Schedule, history: History) -> Verdict:
     """Return the verdict on a run."""
     breaches = check(schedule, history)
-    served = sum(any(answer.status == 200 for answer in each.answers) for each in history.requests.values())
+    served = sum(
+        any(answer.status == 200 for answer in planned.answers) for planned in history.requests.values()
+    )
     outcome = "failed" if breaches else "passed"
-    if history.worst_lateness_s > MOST_LATENESS_S:
+    if history.worst_lateness_s > MAX_LATENESS_S:
         outcome = "refused"
     return Verdict(schedule.seed, outcome, len(history.requests), served, history.worst_lateness_s, breaches)
--- a/client_proxy/fault_injection/soak/schedule.py
+++ b/client_proxy/fault_injection/soak/schedule.py
@@ -1,6 +1,6 @@
-"""What one run of the restart soak does and when. All of it is drawn from the seed before the run begins.
+"""The schedule of one run of the restart soak, drawn from a seed before the run begins.
 
-Times are seconds from the moment in which the proxy is ready, where a name ends in `_s`.
+Times (`_s`) are seconds from when the proxy is ready, unless a comment says otherwise.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 from client_proxy.api.settings import Idempotency
 from client_proxy.emulator.random_streams import random_stream
 
-LEAST_LONGEST_DEADLINE_S, MOST_LONGEST_DEADLINE_S = 0.5, 3.0
+MIN_LONGEST_DEADLINE_S, MAX_LONGEST_DEADLINE_S = 0.5, 3.0
 KILL_MARGIN_S = 0.7  # the platform kills no earlier than the longest deadline and this after SIGTERM
-LEAST_ACCEPT_S, MOST_ACCEPT_S = 0.2, 0.4  # for so long after SIGTERM new connections come
-STOP_S = 0.12  # how long SIGSTOP holds the proxy
-LEAST_STOP_GAP_S = 0.4
-FIRST_PHASE_S = 1.6  # of clients that all leave before the descriptors are counted
-REST_S = 0.4  # for them to be gone
-SECOND_PHASE_S = 0.9  # of clients, before the SIGTERM
-SIGNAL_GAP_S = 0.06  # mean, of the series after SIGTERM
-CROWD_SHARE = 0.2  # of the seeds
-CROWD_CONNECTIONS = 1100
-LEAST_DESCRIPTORS, MOST_DESCRIPTORS = 576, 1024
-MOST_EARLY_TERMINATION_S = 0.35  # SIGTERM to a proxy that is still starting
-REQUESTS_PER_CONNECTION = 120  # more than one connection comes to
+MIN_ACCEPT_S, MAX_ACCEPT_S = 0.2, 0.4  # how long after SIGTERM clients open new connections
+STOP_S = 0.12  # from SIGSTOP to SIGCONT
+MIN_STOP_GAP_S = 0.4  # between SIGCONT and the next SIGSTOP
+FIRST_PHASE_S = 1.6  # duration of the clients that all leave before the descriptors are counted
+REST_S = 0.4  # between the first phase and the count
+SECOND_PHASE_S = 0.9  # longest duration of the clients before the SIGTERM
+SIGNAL_GAP_S = 0.06  # mean gap of the signals after SIGTERM
+CROWD_SHARE = 0.2  # share of runs with many idle connections
+CROWD_CONNECTIONS = 1100  # idle connections in such a run
+MIN_DESCRIPTORS, MAX_DESCRIPTORS = 576, 1024  # descriptor limit of the proxy
+MAX_EARLY_TERMINATION_S = 0.35  # latest SIGTERM after the start of a proxy that is terminated early
+REQUESTS_PER_CONNECTION = 120  # more than a connection can send in one run
 
 
 class Idle(Enum):
-    """What a server does with connections that wait for a request."""
+    """What a server does with idle connections."""
 
     KEEP = "keep"
     CLOSE = "close"  # after `ServerPlan.idle_close_s`
@@ -38,19 +38,19 @@
 class ServerFault(Enum):
     """How a server treats requests for a while."""
 
-    HANG = "hang"  # reads them and says nothing
-    RESET = "reset"  # resets the connection under them
-    REFUSE = "refuse"  # says that they never ran
-    GONE = "gone"  # the process has ended; discovery says so a moment later
+    HANG = "hang"  # reads them and does not answer
+    RESET = "reset"  # resets their connection
+    REFUSE = "refuse"  # answers that they never ran
+    GONE = "gone"  # the process has ended; discovery reports that a moment later
 
 
 class ClientKind(Enum):
     """How a client uses its connections."""
 
     STEADY = "steady"  # one request after the other
-    PIPELINED = "pipelined"  # several ahead of their answers
+    PIPELINED = "pipelined"  # several requests before their answers
     PIECES = "pieces"  # each request in several writes
-    LEAVING = "leaving"  # goes while it waits
+    LEAVING = "leaving"  # closes the connection while it waits for an answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     name: str
     idempotency: Idempotency
     deadline_s: float
-    window_s: float = 0.0  # within which a server drops repeats, with an idempotency key
+    window_s: float = 0.0  # how long a server drops repeats of an idempotency key
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerPlan:
-    """A server: how long its answers take, and what befalls it."""
+    """A server: its latency, its idle connections and its faults."""
 
     name: str
     cell: int
@@ -91,9 +91,9 @@
 
     class_name: str
     expires_s: float
-    think_s: float  # after the answer before it, or with PIPELINED after the request before it
+    think_s: float  # pause after the previous answer, or with PIPELINED after the previous request
     piece_gaps_s: tuple[float, ...] = ()  # between the writes that it is sent in
-    leave_after_s: float | None = None  # the client closes the connection so long after it was sent
+    leave_after_s: float | None = None  # from sending to the close of the connection by the client
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +104,7 @@
     connect_s: float
     kind: ClientKind
     requests: tuple[RequestPlan, ...]
-    first_phase: bool  # it closes the connection at the end of the first phase
+    first_phase: bool  # whether it closes the connection at the end of the first phase
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,45 +117,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """All that one run does."""
+    """Everything that one run does."""
 
     seed: int
     classes: tuple[ClassPlan, ...]
     servers: tuple[ServerPlan, ...]
     clients: tuple[ClientPlan, ...]
     stops_s: tuple[float, ...]
-    reloads_s: tuple[float, ...]  # a configuration with another discovery, and SIGHUP
+    reloads_s: tuple[float, ...]  # times of a new configuration with another discovery, and SIGHUP
     terminate_s: float
-    series: tuple[SignalPlan, ...]  # beside the SIGTERM itself
-    accept_s: float  # after the SIGTERM, for which new connections come
-    early_terminations_s: tuple[float, ...]  # of proxies that are still starting, before the one that serves
-    crowd: int  # idle connections
+    series: tuple[SignalPlan, ...]  # signals besides the SIGTERM itself
+    accept_s: float  # seconds after the SIGTERM in which new connections are opened
+    early_terminations_s: tuple[float, ...]  # seconds from start to SIGTERM, of earlier proxies
+    crowd: int  # number of idle connections
     descriptors: int
 
     @property
     def longest_deadline_s(self) -> float:
         """The longest deadline of a class."""
-        return max(cls.deadline_s for cls in self.classes)
+        return max(request_class.deadline_s for request_class in self.classes)
 
     @property
     def kill_s(self) -> float:
-        """When the proxy is killed, if it has not ended by itself."""
+        """When the proxy is killed if it has not ended by itself."""
         return self.terminate_s + self.longest_deadline_s + KILL_MARGIN_S
 
 
 def draw_schedule(seed: int, hangup: int, terminate: int) -> Schedule:
-    """Draw a run.
+    """Draw the schedule of a run.
 
     Args:
-        seed: the run's seed.
-        hangup: the number of the signal that has the configuration read again.
-        terminate: the number of the signal that asks for a graceful shutdown.
+        seed: The run's seed.
+        hangup: Number of the signal that makes the proxy read its configuration again.
+        terminate: Number of the signal that starts a graceful shutdown.
     """
     random = random_stream(seed, "restart soak")
     classes = _draw_classes(random)
     terminate_s = FIRST_PHASE_S + REST_S + SECOND_PHASE_S * random.uniform(0.6, 1.0)
-    kill_s = terminate_s + max(cls.deadline_s for cls in classes) + KILL_MARGIN_S
-    accept_s = random.uniform(LEAST_ACCEPT_S, MOST_ACCEPT_S)
+    kill_s = terminate_s + max(request_class.deadline_s for request_class in classes) + KILL_MARGIN_S
+    accept_s = random.uniform(MIN_ACCEPT_S, MAX_ACCEPT_S)
     crowd = random.random() < CROWD_SHARE
     return Schedule(
         seed=seed,
@@ -168,15 +168,15 @@
         series=_draw_series(random, terminate_s, kill_s, hangup, terminate),
         accept_s=accept_s,
         early_terminations_s=tuple(
-            random.uniform(0.0, MOST_EARLY_TERMINATION_S) for _ in range(random.choice((0, 0, 1)))
+            random.uniform(0.0, MAX_EARLY_TERMINATION_S) for _ in range(random.choice((0, 0, 1)))
         ),
         crowd=CROWD_CONNECTIONS if crowd else 0,
-        descriptors=random.randint(LEAST_DESCRIPTORS, MOST_DESCRIPTORS),
+        descriptors=random.randint(MIN_DESCRIPTORS, MAX_DESCRIPTORS),
     )
 
 
 def _draw_classes(random: Random) -> tuple[ClassPlan, ...]:
-    longest_s = random.uniform(LEAST_LONGEST_DEADLINE_S, MOST_LONGEST_DEADLINE_S)
+    longest_s = random.uniform(MIN_LONGEST_DEADLINE_S, MAX_LONGEST_DEADLINE_S)
     deadlines_s = [longest_s, longest_s * random.uniform(0.4, 1.0), longest_s * random.uniform(0.4, 1.0)]
     random.shuffle(deadlines_s)
     return (
@@ -191,7 +191,7 @@
     for number in range(random.randint(3, 5)):
         faults = []
         for begin_s in (random.uniform(0.2, FIRST_PHASE_S), terminate_s + random.uniform(-0.4, 0.6)):
-            # The first server is well: a run in which nobody is served shows nothing.
+            # The first server has no fault: a run in which no request is served would check nothing.
             if number and random.random() < 0.6:
                 kind = random.choice(list(ServerFault))
                 end_s = begin_s + random.uniform(0.2, 0.8) if begin_s < FIRST_PHASE_S else kill_s
@@ -227,7 +227,7 @@
 
 
 def _draw_request(random: Random, classes: tuple[ClassPlan, ...], kind: ClientKind) -> RequestPlan:
-    cls = random.choice(classes)
+    request_class = random.choice(classes)
     gaps_s: tuple[float, ...] = ()
     leave_after_s: float | None = None
     if kind is ClientKind.PIECES:
@@ -235,8 +235,8 @@
     if kind is ClientKind.LEAVING and random.random() < 0.3:
         leave_after_s = random.uniform(0.0, 0.15)
     think_s = random.choice((0.0, random.uniform(0.0, 0.1), random.uniform(0.0, 0.4)))
-    expires_s = cls.deadline_s * random.uniform(0.4, 1.0)
-    return RequestPlan(cls.name, expires_s, think_s, gaps_s, leave_after_s)
+    expires_s = request_class.deadline_s * random.uniform(0.4, 1.0)
+    return RequestPlan(request_class.name, expires_s, think_s, gaps_s, leave_after_s)
 
 
 def _draw_stops(random: Random, kill_s: float) -> tuple[float, ...]:
@@ -244,17 +244,17 @@
     at_s = random.uniform(0.1, 1.0)
     while at_s < kill_s - STOP_S:
         stops.append(at_s)
-        at_s += STOP_S + LEAST_STOP_GAP_S + random.expovariate(1.0)
+        at_s += STOP_S + MIN_STOP_GAP_S + random.expovariate(1.0)
     return tuple(stops)
 
 
 def _draw_reloads(random: Random, terminate_s: float) -> tuple[float, ...]:
-    """Configurations in a row: some of them within a few milliseconds."""
+    """Draw the times of reloads, some of them within a few milliseconds of each other."""
     at_s = random.uniform(0.2, terminate_s - 0.2)
     reloads = [at_s]
     for _ in range(random.randint(0, 3)):
         reloads.append(reloads[-1] + random.choice((0.005, 0.05, 0.3)))
-    return tuple(each for each in reloads if each < terminate_s)
+    return tuple(reload_s for reload_s in reloads if reload_s < terminate_s)
 
 
 def _draw_series(
--- a/client_proxy/fault_injection/soak/servers.py
+++ b/client_proxy/fault_injection/soak/servers.py
@@ -1,4 +1,4 @@
-"""The servers and the discovery of a restart soak, as its schedule says."""
+"""The scripted servers and discovery service of the restart soak."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from client_proxy.proxy.socket_state import SocketState
 
 NEVER_RAN = b"X-Never-Ran: 1"
-GONE_NOTICE_S = 0.05  # until discovery says that a process has ended
-DISCOVERY_LATENCY_S = 0.002
+GONE_NOTICE_S = 0.05  # from the end of a server to its notice by discovery
+DISCOVERY_LATENCY_S = 0.002  # of its answers and notices
 
 Json = dict[str, Any]
 
 
 class ScriptedServer:
-    """One server: it listens, treats requests as its plan says, and records each that it has read."""
+    """A server that treats requests as its plan says, and records each one that it reads."""
 
     def __init__(self, plan: ServerPlan, seed: int, history: History) -> None:
         self.plan, self.seed, self.history = plan, seed, history
@@ -41,25 +41,25 @@
         self.address = self._server.sockets[0].getsockname()[:2]
 
     def schedule_faults(self, start_s: float, publish: Callable[[str, str], None]) -> None:
-        """Have the plan's faults begin and end, counted from `start_s`."""
+        """Schedule the begin and end of the plan's faults, whose times count from `start_s`."""
         loop = asyncio.get_running_loop()
         for fault in self.plan.faults:
-            loop.call_at(start_s + fault.begin_s, self._begin, fault, publish)
+            loop.call_at(start_s + fault.begin_s, self._begin_fault, fault, publish)
             if fault.kind is not ServerFault.GONE:
-                loop.call_at(start_s + fault.end_s, self._end, fault)
+                loop.call_at(start_s + fault.end_s, self._end_fault, fault)
 
-    def _begin(self, fault: FaultPlan, publish: Callable[[str, str], None]) -> None:
+    def _begin_fault(self, fault: FaultPlan, publish: Callable[[str, str], None]) -> None:
         self.fault = fault.kind
         if fault.kind is ServerFault.GONE:
             self.close()
             asyncio.get_running_loop().call_later(GONE_NOTICE_S, publish, self.plan.name, "gone")
 
-    def _end(self, fault: FaultPlan) -> None:
+    def _end_fault(self, fault: FaultPlan) -> None:
         if self.fault is fault.kind:
             self.fault = None
 
     def close(self) -> None:
-        """End the process that the server stands for."""
+        """Stop listening and reset all connections, as at the end of a process."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
@@ -67,7 +67,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection of the proxy to a server: one request at a time."""
+    """A connection from the proxy to a server, with one request at a time."""
 
     def __init__(self, server: ScriptedServer) -> None:
         self._server = server
@@ -85,12 +85,12 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Forget the connection."""
         self._server.connections.discard(self)
-        self._keep_open()
+        self._cancel_idle_timer()
         self._transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Read on."""
-        self._keep_open()
+        """Read a part of a request."""
+        self._cancel_idle_timer()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
@@ -105,13 +105,13 @@
         self._headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
-        """Record a complete request, and treat it as the plan says."""
+        """Record a complete request, and answer it or not as the plan says."""
         server = self._server
         trace_id = self._headers.get(b"x-trace-id", b"").decode("latin-1")
-        told_s = int(self._headers.get(b"x-expires-in-ms", b"0")) / 1000.0
-        # When it came, not when this process had the time to read it.
+        stated_time_left_s = int(self._headers.get(b"x-expires-in-ms", b"0")) / 1000.0
+        # The time of arrival, not of reading.
         at_s = asyncio.get_running_loop().time() - self._socket_state.ms_since_last_data() / 1000.0
-        arrival = Arrival(trace_id, server.plan.name, server.plan.cell, at_s, told_s)
+        arrival = Arrival(trace_id, server.plan.name, server.plan.cell, at_s, stated_time_left_s)
         server.history.arrivals.append(arrival)
         if server.fault is ServerFault.HANG:
             return
@@ -141,7 +141,7 @@
         if self._transport is not None:
             self._transport.write(data)
 
-    def _keep_open(self) -> None:
+    def _cancel_idle_timer(self) -> None:
         if self._idle_timer is not None:
             self._idle_timer.cancel()
             self._idle_timer = None
@@ -157,9 +157,9 @@
 
 
 class ScriptedDiscovery:
-    """A discovery service with one endpoint list, whose watches learn of changes at once.
+    """A discovery service with one endpoint list that sends changes to its watches at once.
 
-    What a `DiscoveryConnection` of the emulator needs of its registry.
+    It has what a `DiscoveryConnection` of the emulator uses of its registry.
     """
 
     def __init__(self, servers: list[ScriptedServer]) -> None:
@@ -186,7 +186,7 @@
             self._server.close()
 
     def publish(self, name: str, status: str) -> None:
-        """Change a server's entry, and tell the watches."""
+        """Change a server's status, and notify the watches."""
         self._statuses[name] = status
         self.index += 1
         self._changed_at_index[name] = self.index
@@ -199,7 +199,7 @@
         return {"index": self.index, "snapshot": True, "endpoints": [self._entry(each) for each in listed]}
 
     def changes_since(self, proxy: int, index: int) -> Json | None:
-        """Return the changes after a version; None without any."""
+        """Return the changes after version `index`; None if there are none."""
         changed = [
             self._entry(server)
             for server in self._servers
@@ -221,6 +221,6 @@
         }
 
     def known(self) -> Json:
-        """Return the list in the form in which a configuration restores it."""
+        """Return the list in the format of the configuration's `known`."""
         listed: Json = json.loads(json.dumps(self.snapshot(0)))
         return listed
--- a/tests/fault_injection/test_plan.py
+++ b/tests/fault_injection/test_plan.py
@@ -36,7 +36,7 @@
         (faulty('kind = "list"\nwho = ["i1"]'), "drop: missing"),
         (faulty('kind = "kill"\nwho = ["i1"]\nat_s = 99'), "after the end of the plan"),
         (faulty('kind = "clock"\nwho = ["i1"]'), "the clock would be right"),
-        (faulty('kind = "full"\nwho = ["i1"]', 'line = "run"'), "no files of its own"),
+        (faulty('kind = "full"\nwho = ["i1"]', 'line = "run"'), "no files of their own"),
         (faulty('kind = "loss"\nwho = ["i1"]\nto = ["i2"]'), "only with gossip"),
         (faulty('kind = "stop"\nwho = ["c"]'), "the clients are the drill's own"),
         (faulty('kind = "kill"\nwho = ["i1"]\nhow = 1'), "not a known key"),
--- a/tests/fault_injection/test_soak.py
+++ b/tests/fault_injection/test_soak.py
@@ -25,8 +25,8 @@
 from client_proxy.fault_injection.soak.schedule import (
     CROWD_CONNECTIONS,
     KILL_MARGIN_S,
-    LEAST_LONGEST_DEADLINE_S,
-    MOST_LONGEST_DEADLINE_S,
+    MAX_LONGEST_DEADLINE_S,
+    MIN_LONGEST_DEADLINE_S,
     ClientKind,
     Schedule,
     draw_schedule,
@@ -63,7 +63,7 @@
     assert {each.crowd for each in drawn} == {0, CROWD_CONNECTIONS}
     assert any(each.early_terminations_s for each in drawn)
     for each in drawn:
-        assert LEAST_LONGEST_DEADLINE_S <= each.longest_deadline_s <= MOST_LONGEST_DEADLINE_S
+        assert MIN_LONGEST_DEADLINE_S <= each.longest_deadline_s <= MAX_LONGEST_DEADLINE_S
         assert each.kill_s == each.terminate_s + each.longest_deadline_s + KILL_MARGIN_S
         assert any(planned.at_s > each.kill_s - 0.5 for planned in each.series)
         assert any(client.connect_s > each.terminate_s for client in each.clients)
@@ -76,8 +76,8 @@
     )
 
 
-def arrival(at_s: float = 10.1, told_s: float = 0.9, cell: int = 0) -> Arrival:
-    return Arrival("000000", "s0", cell, at_s, told_s)
+def arrival(at_s: float = 10.1, stated_time_left_s: float = 0.9, cell: int = 0) -> Arrival:
+    return Arrival("000000", "s0", cell, at_s, stated_time_left_s)
 
 
 def broken_rules(history: History, drawn: Schedule | None = None) -> set[str]:
@@ -102,7 +102,7 @@
 
 
 def test_an_answer_to_nothing_is_seen() -> None:
-    assert broken_rules(History(unasked=[(1.0, 0)])) == {"one answer"}
+    assert broken_rules(History(unexpected_answers=[(1.0, 0)])) == {"one answer"}
 
 
 def test_bytes_that_are_no_answer_are_seen() -> None:
@@ -119,7 +119,7 @@
 def test_a_connection_that_is_turned_away_is_seen_unless_a_crowd_fills_the_descriptors(
     crowd: int, broken: set[str]
 ) -> None:
-    assert broken_rules(History(turned_away=[1.0]), replace(schedule(), crowd=crowd)) == broken
+    assert broken_rules(History(refused_connections_s=[1.0]), replace(schedule(), crowd=crowd)) == broken
 
 
 def test_a_request_that_a_server_saw_and_nobody_answered_is_seen() -> None:
@@ -158,12 +158,12 @@
     sent = request()
     sent.answers, sent.left_s = [], 10.05
     assert broken_rules(history_of(sent, arrival(10.14))) == set()
-    assert broken_rules(history_of(sent, arrival(10.16, told_s=0.8))) == {"client left"}
+    assert broken_rules(history_of(sent, arrival(10.16, stated_time_left_s=0.8))) == {"client left"}
 
 
 def test_a_told_time_past_the_slack_is_seen() -> None:
-    assert broken_rules(history_of(request(), arrival(10.1, told_s=1.04))) == set()
-    assert broken_rules(history_of(request(), arrival(10.1, told_s=1.06))) == {"told time"}
+    assert broken_rules(history_of(request(), arrival(10.1, stated_time_left_s=1.04))) == set()
+    assert broken_rules(history_of(request(), arrival(10.1, stated_time_left_s=1.06))) == {"told time"}
 
 
 def test_a_request_that_nobody_sent_is_seen() -> None:
@@ -185,7 +185,9 @@
 ) -> None:
     earlier = arrival(10.1)
     earlier.treatment = first
-    history = history_of(request(class_name=class_name), earlier, arrival(10.2, told_s=0.8, cell=cell))
+    history = history_of(
+        request(class_name=class_name), earlier, arrival(10.2, stated_time_left_s=0.8, cell=cell)
+    )
     assert broken_rules(history) == broken
 
 
@@ -194,7 +196,7 @@
     keyed = next(cls for cls in drawn.classes if cls.idempotency is Idempotency.IDEMPOTENCY_KEY)
     later_s = 10.1 + keyed.window_s + 0.01
     sent = replace(request(), expires_s=10.0)
-    history = history_of(sent, arrival(10.1), arrival(later_s, told_s=1.0))
+    history = history_of(sent, arrival(10.1), arrival(later_s, stated_time_left_s=1.0))
     assert broken_rules(history, drawn) == {"repeats"}
 
 
--- a/tests/fault_injection/test_versions.py
+++ b/tests/fault_injection/test_versions.py
@@ -7,7 +7,7 @@
 from client_proxy.fault_injection.history import Record
 from client_proxy.fault_injection.load import KEYED
 from client_proxy.fault_injection.plan import FleetTable, Plan
-from client_proxy.fault_injection.versions import overlap_s, overlaps_ms, versions
+from client_proxy.fault_injection.versions import check_versions, overlap_s, overlaps_ms
 
 PLAN = Plan(
     name="v",
@@ -40,7 +40,7 @@
 
 def rules(*records: Record | list[Record]) -> set[tuple[str, str]]:
     flat = [r for each in records for r in (each if isinstance(each, list) else [each])]
-    return {(b.rule, b.who) for b in versions(PLAN, sorted(flat, key=lambda r: float(r["t"])))}
+    return {(b.rule, b.who) for b in check_versions(PLAN, sorted(flat, key=lambda r: float(r["t"])))}
 
 
 # Version 2 has r1-2, which the first one lacks, and not r0-2.
@@ -87,4 +87,4 @@
 
 def test_without_seats_nothing_is_promised() -> None:
     plan = PLAN.model_copy(update={"fleet": FleetTable(instances=3)})
-    assert versions(plan, [TWO, *request("a", "i1", 99.0, "r0-2")]) == []
+    assert check_versions(plan, [TWO, *request("a", "i1", 99.0, "r0-2")]) == []
--- a/tests/fault_injection/test_wires.py
+++ b/tests/fault_injection/test_wires.py
@@ -70,7 +70,7 @@
         writer.write_eof()
         assert await reader.read() == b""
         writer.close()
-        await until(lambda: not made.link.connections)
+        await until(lambda: not made.link.relayed_connections)
 
     wired(test)
 
@@ -164,7 +164,7 @@
         made.set("silent", "there")
         sent = 16 * 1024 * 1024
         writer.write(b"x" * sent)
-        relayed = next(iter(made.link.connections))
+        relayed = next(iter(made.link.relayed_connections))
         await until(lambda: relayed.forward_stream._reading_paused)
         assert relayed.forward_stream._buffered_bytes < 2 * 1024 * 1024
         made.set("")
