--- a/client_proxy/fault_injection/scenario_runner.py
+++ b/client_proxy/fault_injection/scenario_runner.py
@@ -39,7 +39,7 @@
 MAX_LATENESS_S = 1.0  # likewise, the largest lateness
 END_MARGIN_S = 3.0  # time that an instance has after SIGTERM beyond the longest deadline
 
-Report = Callable[[str], object]
+ProgressPrinter = Callable[[str], object]
 
 
 @dataclass
@@ -79,8 +79,8 @@
 class Drill:
     """One run of a plan, in a new folder."""
 
-    def __init__(self, plan: Plan, folder: Path, report: Report) -> None:
-        self.plan, self.folder, self._report = plan, folder, report
+    def __init__(self, plan: Plan, folder: Path, print_progress: ProgressPrinter) -> None:
+        self.plan, self.folder, self._print_progress = plan, folder, print_progress
         self.fleet = Fleet(plan, folder)
         self._start_s = 0.0
         self._lateness: dict[str, Any] = {}
@@ -157,12 +157,12 @@
             await asyncio.sleep(spec.at_s)
         else:
             await self._sleep_until(spec.at_s)
-        self._report(f"{time.monotonic() - self._start_s:6.2f} s  {spec.label()}")
+        self._print_progress(f"{time.monotonic() - self._start_s:6.2f} s  {spec.label()}")
         await fault.begin()
         if spec.for_s:
             await asyncio.sleep(spec.for_s)
             await fault.revert()
-            self._report(f"{time.monotonic() - self._start_s:6.2f} s  put right: {spec.label()}")
+            self._print_progress(f"{time.monotonic() - self._start_s:6.2f} s  put right: {spec.label()}")
         elif spec.kind in INSTANT_KINDS:
             fault.end_s = time.monotonic()
         else:
@@ -239,14 +239,14 @@
                 fleet.record_state(name, "hangs")
 
     async def end(self) -> None:
-        pids = [(child.name, child.pid) for child in self._children() if child.pid]
+        pids = [(child.name, child.pid) for child in self._child_processes() if child.pid]
         await self.fleet.end()
         for name, pid in pids:
             # All children have been waited for, so an id that still exists is a process left behind.
             if os.path.exists(f"/proc/{pid}") and process_state(pid) not in ("", "Z"):
                 raise RigError(f"{name}: process {pid} is still there")
 
-    def _children(self) -> list[Any]:
+    def _child_processes(self) -> list[Any]:
         fleet = self.fleet
         helpers = (fleet.clients, fleet.discovery, fleet.wires)
         return [*fleet.instances.values(), *fleet.racks.values(), *helpers]
@@ -255,16 +255,18 @@
         return self._lateness_by_process
 
     def records(self) -> list[history.Record]:
-        records = history.merged(p for p in self.folder.glob("*.jsonl") if p.name != "history.jsonl")
-        begin_times_s = [r["t"] for r in records if r["kind"] == "begin"]
+        found_records = history.merged(p for p in self.folder.glob("*.jsonl") if p.name != "history.jsonl")
+        begin_times_s = [r["t"] for r in found_records if r["kind"] == "begin"]
         if begin_times_s:
             offset_s = time.time() - time.monotonic()
             clock_adjusted = {
                 name for fault in self.plan.fault if fault.kind == "clock" for name in fault.who
             }
             for name, child in self.fleet.instances.items():
-                records += log_records(name, child.log, begin_times_s[0], offset_s, name in clock_adjusted)
-        return sorted(records, key=lambda record: float(record["t"]))
+                found_records += log_records(
+                    name, child.log, begin_times_s[0], offset_s, name in clock_adjusted
+                )
+        return sorted(found_records, key=lambda record: float(record["t"]))
 
 
 def log_records(
@@ -326,7 +328,7 @@
     return verdict
 
 
-async def run(plan: Plan, folder: Path, report: Report = lambda _: None) -> Verdict:
+async def run(plan: Plan, folder: Path, print_progress: ProgressPrinter = lambda _: None) -> Verdict:
     """Run a plan in a folder that must not exist yet.
 
     Failures of the program or of the drill are in the verdict and never raised.
@@ -334,7 +336,7 @@
     begin_s = time.monotonic()
     folder.mkdir(parents=True)
     (folder / "plan.toml").write_text(format_plan(plan))
-    drill = Drill(plan, folder, report)
+    drill = Drill(plan, folder, print_progress)
     error = ""
     try:
         await drill.play()
--- a/client_proxy/fault_injection/soak/rules.py
+++ b/client_proxy/fault_injection/soak/rules.py
@@ -45,13 +45,13 @@
         if request.answers or request.left_s is not None:
             continue
         if request.trace_id in seen_ids:
-            yield f"{request.trace_id}: no answer, though a server saw it; {_describe_times(request)}"
+            yield f"{request.trace_id}: no answer, though a server saw it; {_timing(request)}"
         elif (
             request.sent_s is not None
             and not _crossed(history, request)
             and not _may_be_closed_unread(schedule, request)
         ):
-            yield f"{request.trace_id}: no answer, though it came on an open connection; {_describe_times(request)}"
+            yield f"{request.trace_id}: no answer, though it came on an open connection; {_timing(request)}"
     for at_s, connection in history.unexpected_answers:
         yield f"connection {connection}: an answer to no request at {at_s:.3f} s"
     for at_s, connection in history.malformed:
@@ -67,13 +67,13 @@
 
 
 def _accepts_connections(schedule: Schedule, history: History) -> Iterator[str]:
-    """New connections are accepted as long as the schedule opens some, unless idle ones use up descriptors."""
+    """New connections are accepted to the schedule's end, unless idle ones use up the descriptors."""
     if not schedule.crowd:
         for at_s in history.refused_connections_s:
             yield f"a connection was turned away at {at_s:.3f} s"
 
 
-def _describe_times(request: SentRequest) -> str:
+def _timing(request: SentRequest) -> str:
     if request.sent_s is None or request.connection_ended_s is None:
         return "not sent whole, or its connection did not end"
     before_s = request.connection_ended_s - request.sent_s
--- a/client_proxy/fault_injection/soak/runner.py
+++ b/client_proxy/fault_injection/soak/runner.py
@@ -351,7 +351,7 @@
     """Return the verdict on a run."""
     breaches = check(schedule, history)
     served = sum(
-        any(answer.status == 200 for answer in planned.answers) for planned in history.requests.values()
+        any(answer.status == 200 for answer in request.answers) for request in history.requests.values()
     )
     outcome = "failed" if breaches else "passed"
     if history.worst_lateness_s > MAX_LATENESS_S:
