--- a/client_proxy/fault_injection/changes.py
+++ b/client_proxy/fault_injection/changes.py
@@ -1,7 +1,8 @@
 """Changes of the agreed policy during a drill, proposed through an instance's control socket as operators do.
 
 The history gets one `change` record for each, with its outcome and the servers that it lists, so that the
-checks can compare it with what clients saw."""
+checks can compare it with what clients saw.
+"""
 
 from __future__ import annotations
 
@@ -55,7 +56,7 @@
     Args:
         fleet: The drill's processes.
         number: The fault's number in the plan; part of the changes' names.
-        stated: The fault.
+        fault: The fault.
         name: The instance that proposes.
 
     Returns:
@@ -74,6 +75,7 @@
 
 
 async def _make_change(fleet: Fleet, fault: FaultTable, name: str, change: str, index: int) -> Json:
+    """Propose one change, wait for its outcome, and record both. `index`: its place among the fault's."""
     control = fleet.home(name) / "control.sock"
     request: Json = {"change": change, "who": "drill", "why": change}
     details: Json = {}
--- a/client_proxy/fault_injection/child_process.py
+++ b/client_proxy/fault_injection/child_process.py
@@ -1,7 +1,8 @@
 """Child processes of a drill: start, signals, control messages, inspection through /proc, and end.
 
 Each is started by way of `in_process_faults.py`, which asks the kernel to kill it when the drill dies; so a
-kill -9 of the drill leaves no process behind."""
+kill -9 of the drill leaves no process behind.
+"""
 
 from __future__ import annotations
 
@@ -66,6 +67,7 @@
 
 
 def descriptors(pid: int) -> int:
+    """Return the number of a process's open descriptors; 0 if there is no such process."""
     try:
         return len(os.listdir(f"/proc/{pid}/fd"))
     except OSError:
@@ -73,6 +75,7 @@
 
 
 def resident_kb(pid: int) -> int:
+    """Return a process's resident memory in KiB; 0 if there is no such process."""
     with suppress(OSError):
         for line in Path(f"/proc/{pid}/status").read_text().splitlines():
             if line.startswith("VmRSS:"):
@@ -132,7 +135,7 @@
             arguments: Its command line.
             path: The checkout whose code it runs.
             cwd: Its working directory; None: the checkout.
-            env: Environment variables beside this process's own.
+            env: Further environment variables. Inherited are all but LB_* and PYTHONPATH.
             piped: Standard input and output are pipes; else output goes to the log.
             fault_folder: The folder whose files can get faults. Needed for `order`.
             adjustable_clock: Orders can change the speed and the time of day of its clock.
@@ -198,6 +201,7 @@
         return self.process.returncode
 
     async def kill(self) -> None:
+        """Kill the process if it runs, and wait for its end."""
         if self.process is not None and self.process.returncode is None:
             with suppress(ProcessLookupError):
                 self.process.kill()
@@ -221,6 +225,7 @@
         raise RigError(f"{self.name}: does not listen on port {port} after {within_s:g} s")
 
     def last_line(self) -> str:
+        """Return the end of the log's last line, for error messages."""
         with suppress(OSError):
             lines = self.log.read_text(errors="replace").strip().splitlines()
             return lines[-1][-300:] if lines else "its log is empty"
@@ -261,6 +266,7 @@
         self._lock = asyncio.Lock()
 
     async def begin(self, module: str) -> None:
+        """Start the helper's module."""
         await self.start(module, piped=True)
 
     async def ask(self, do: str, **fields: Any) -> Json:
@@ -293,4 +299,5 @@
 
 
 def stop_signal(name: str) -> int:
+    """Return the signal of a fault of the kind `name`."""
     return {"kill": signal.SIGKILL, "term": signal.SIGTERM, "stop": signal.SIGSTOP}[name]
--- a/client_proxy/fault_injection/command.py
+++ b/client_proxy/fault_injection/command.py
@@ -37,6 +37,7 @@
 
 
 def show(verdict: Verdict, console: Console) -> None:
+    """Print a verdict and its breaches as tables."""
     table = Table(title=f"{verdict.plan}, seed {verdict.seed}: {verdict.outcome}", show_header=False)
     attempts = ", ".join(f"{n} {ending}" for ending, n in verdict.figures.get("tries", {}).items())
     requests, served = verdict.figures.get("asked", 0), verdict.figures.get("served", 0)
--- a/client_proxy/fault_injection/fault_proxy.py
+++ b/client_proxy/fault_injection/fault_proxy.py
@@ -47,6 +47,7 @@
         self.sink_full = False  # the sink has paused writing
 
     def receive(self, data: bytes | None) -> None:
+        """Buffer bytes from the source, or with None the end of its stream, and send what is due."""
         loop = asyncio.get_running_loop()
         if data is not None and self.direction.bytes_per_s:
             for start in range(0, len(data), CHUNK_BYTES):
@@ -92,6 +93,7 @@
             self.source.resume_reading()
 
     def discard_buffer(self) -> None:
+        """Drop the bytes that are not sent yet."""
         if self._timer is not None:
             self._timer.cancel()
         self._buffered.clear()
@@ -151,6 +153,7 @@
         self.reset_done = False  # reset; an end that is connected later is reset too
 
     def accept(self) -> asyncio.Protocol:
+        """Accept a connection and dial the target, or reset it if the link resets connections."""
         self._link.relayed_connections[self] = None
         self._link.counts["dials"] += 1
         if self._link.resetting:
@@ -199,6 +202,7 @@
         self.listener.open()
 
     def set_faults(self, order: Json) -> None:
+        """Replace the faults of the directions in `sides` by the `mode` of the order; "" means none."""
         self.resets_before = self.counts["reset"]
         for side, direction in zip(("there", "back"), self.directions, strict=True):
             if side in order["sides"]:
@@ -231,6 +235,7 @@
             self.listener.hold()  # a TCP handshake needs both directions
 
     def summary(self) -> Json:
+        """Return the counts of the link and of both directions."""
         sides = dict(
             zip(("there", "back"), (dict(direction.counts) for direction in self.directions), strict=True)
         )
--- a/client_proxy/fault_injection/faults.py
+++ b/client_proxy/fault_injection/faults.py
@@ -38,7 +38,7 @@
 CLOCK_ERROR = 0.02  # largest difference between a clock's stated rate and the one measured over the fault
 SPINNER_COUNT = 3  # processes that compete for the core of a `busy` instance
 DEATH_TIMEOUT_S = 10.0  # longest wait for the end of a process or for its log line
-SELF_KILL_KINDS = ("torn", "die-at", "die-after")  # kinds at which the process kills itself at a given step
+SELF_KILL_KINDS = ("torn", "die-at", "die-after")  # the process kills itself at the ordered step
 LAYER_KINDS = ("full", "read-only", "slow-disk", *SELF_KILL_KINDS)
 
 
@@ -49,13 +49,14 @@
         self.fleet, self.number, self.spec = fleet, number, spec
         self.begin_s = self.end_s = 0.0
         self.evidence: Json = {}
-        self._before: Json = {}
+        self._baseline: Json = {}
         self._sampling_task: asyncio.Task[None] | None = None
         self._spinners: list[Child] = []
 
     # Begin and end
 
     async def begin(self) -> None:
+        """Inject the fault. Raises RigError if that is not possible."""
         kind = self.spec.kind
         self.begin_s = time.monotonic()
         if kind in ("kill", "term", "stop"):
@@ -201,9 +202,9 @@
             for receiver in spec.to:
                 for id_, side in fleet.link_sides(sender, receiver):
                     sides.setdefault(id_, set()).update(("there", "back") if spec.back else (side,))
-        self._link_sides = {id_: sorted(each) for id_, each in sides.items()}
-        for id_, each in self._link_sides.items():
-            self._before[id_] = await self._set_link_faults(id_, kind, each)
+        self._link_sides = {id_: sorted(names) for id_, names in sides.items()}
+        for id_, link_sides in self._link_sides.items():
+            self._baseline[id_] = await self._set_link_faults(id_, kind, link_sides)
         self._hanging_dials = 0
         if kind == "silent":
             self._sampling_task = asyncio.create_task(self._sample_dials())
@@ -212,7 +213,7 @@
         """Set the faults of a link. Returns its counts so far, which the evidence is compared with."""
         spec = self.spec
         parameters = {"ms": spec.ms, "bytes_per_s": spec.bytes_per_s}
-        return await self.fleet.wires.ask("way", id=id_, sides=sides, mode=mode, **parameters)
+        return await self.fleet.fault_proxy.ask("way", id=id_, sides=sides, mode=mode, **parameters)
 
     async def _sample_dials(self) -> None:
         """Count hanging dials at the processes that dial: their sockets are in the state SYN_SENT."""
@@ -222,19 +223,21 @@
         pids += [self.fleet.clients.pid] if "c" in diallers else []
         while True:
             for pid in pids:
-                self._hanging_dials += sum(1 for each in tcp_sockets(pid, SYN_SENT) if each[2:] in addresses)
+                self._hanging_dials += sum(
+                    1 for found in tcp_sockets(pid, SYN_SENT) if found[2:] in addresses
+                )
             await asyncio.sleep(SAMPLE_S)
 
     async def _repair_links(self, kind: str) -> None:
-        totals = (await self.fleet.wires.ask("count", ids=list(self._link_sides)))["links"]
-        for id_, each in self._link_sides.items():
-            await self._set_link_faults(id_, "", each)
+        totals = (await self.fleet.fault_proxy.ask("count", ids=list(self._link_sides)))["links"]
+        for id_, link_sides in self._link_sides.items():
+            await self._set_link_faults(id_, "", link_sides)
         if self._sampling_task is not None:
             self._sampling_task.cancel()
         counter_names = {"silent": "held", "delay": "delayed", "trickle": "trickled"}
         affected = 0
         for id_, sides in self._link_sides.items():
-            old, new = self._before[id_], totals[id_]
+            old, new = self._baseline[id_], totals[id_]
             if kind == "reset":
                 affected += new["counts"].get("reset", 0) - old["was_reset"]
             else:
@@ -265,10 +268,10 @@
             addresses = [self.fleet.host(1 + int(receiver[1:])) for receiver in spec.to]
             parameters = {"kind": spec.kind, "ms": spec.ms, "share": spec.share, "step": spec.step}
             answer = await child.order(do="datagrams", to=addresses, **parameters)
-        self._before[name] = answer
+        self._baseline[name] = answer
 
     async def _disarm_layer(self, name: str) -> None:
-        child, spec, previous = self.fleet.instances[name], self.spec, self._before[name]
+        child, spec, previous = self.fleet.instances[name], self.spec, self._baseline[name]
         if spec.kind == "clock":
             answer = await child.order(do="clock", rate=1.0, step_s=0.0)
             await self._verify_clock(name, previous, answer)
@@ -346,7 +349,7 @@
         child = self.fleet.instances[name]
         core = self.number % (os.cpu_count() or 1)
         os.sched_setaffinity(child.pid, {core})
-        self._before[name] = {"waited_s": waited_s(child.pid)}
+        self._baseline[name] = {"waited_s": waited_s(child.pid)}
         for index in range(SPINNER_COUNT):
             spinner = Helper(f"busy-{self.number}-{name}-{index}", self.fleet.folder)
             await spinner.start("client_proxy.fault_injection.cpu_hog", str(core))
@@ -357,7 +360,7 @@
         for spinner in self._spinners:
             await spinner.kill()
         self._spinners.clear()
-        waited_since_s = waited_s(child.pid) - self._before[name]["waited_s"]
+        waited_since_s = waited_s(child.pid) - self._baseline[name]["waited_s"]
         if child.up:
             os.sched_setaffinity(child.pid, range(os.cpu_count() or 1))
         self._add_evidence(name, waited_s=round(waited_since_s, 3))
--- a/client_proxy/fault_injection/fleet.py
+++ b/client_proxy/fault_injection/fleet.py
@@ -92,7 +92,7 @@
         _drill_numbers.add(self._drill_number)
         self.address_prefix = loopback_prefix(self._drill_number)
         self.history = Writer(folder / "drill.jsonl")
-        self.wires = Helper("wires", folder)
+        self.fault_proxy = Helper("wires", folder)
         self.clients = Helper("clients", folder)
         self.discovery = Helper("discovery", folder)
         self.racks = {name: Helper(name, folder) for name in plan.racks()}
@@ -124,11 +124,13 @@
         self._clock_instances = {name for fault in clock_faults for name in fault.who}
 
     def process_by_name(self, name: str) -> Child:
+        """Return an instance, a rack or the discovery service (`d`)."""
         if name == "d":
             return self.discovery
         return self.racks.get(name) or self.instances[name]
 
     def host(self, number: int) -> str:
+        """Return one of the drill's loopback addresses."""
         return f"{self.address_prefix}.{number}"
 
     def home(self, name: str) -> Path:
@@ -145,7 +147,8 @@
     # Start
 
     async def start(self) -> None:
-        await self.wires.begin("client_proxy.fault_injection.fault_proxy")
+        """Start all processes but the clients, and wait until the instances listen."""
+        await self.fault_proxy.begin("client_proxy.fault_injection.fault_proxy")
         await asyncio.gather(*(self.start_rack(rack, cold=False) for rack in self.racks))
         if self.plan.fleet.line == "run":
             await self.start_discovery()
@@ -164,12 +167,13 @@
 
     async def _link(self, id_: str, to: Any, host: int = 251) -> None:
         if id_ in self.links:
-            await self.wires.ask("aim", id=id_, to=to)
+            await self.fault_proxy.ask("aim", id=id_, to=to)
         else:
-            answer = await self.wires.ask("link", id=id_, host=self.host(host), to=to)
+            answer = await self.fault_proxy.ask("link", id=id_, host=self.host(host), to=to)
             self.links[id_] = tuple(answer["address"])
 
     async def start_rack(self, rack: str, cold: bool) -> None:
+        """Start the servers of a rack. `cold`: they need a slow start."""
         helper = self.racks[rack]
         await helper.begin("client_proxy.fault_injection.servers")
         self._start_counts[rack] = self._start_counts.get(rack, 0) + 1
@@ -190,6 +194,7 @@
         self.record_state(rack, "ready")
 
     async def start_discovery(self) -> None:
+        """Start the discovery service."""
         await self.discovery.begin("client_proxy.fault_injection.discovery")
         self._start_counts["d"] = self._start_counts.get("d", 0) + 1
         addresses = {
@@ -240,6 +245,7 @@
         self.record_state(name, "listening")
 
     def record_state(self, who: str, state: str, **more: Any) -> None:
+        """Record a state change of a process in the history."""
         self.history.write(
             "state", time.monotonic(), who=who, state=state, pid=self.process_by_name(who).pid, **more
         )
@@ -497,7 +503,7 @@
     async def refuse_dials(self, name: str) -> None:
         """Have the relays refuse dials to a process that has died."""
         for id_ in self._links_to(name):
-            await self.wires.ask("way", id=id_, sides=[], mode="closed")
+            await self.fault_proxy.ask("way", id=id_, sides=[], mode="closed")
 
     def _links_to(self, name: str) -> list[str]:
         """Return the links that lead to a process."""
@@ -515,7 +521,7 @@
         """End every process, whatever state it is in."""
         for child in self.instances.values():
             await child.kill()
-        for helper in (self.clients, *self.racks.values(), self.discovery, self.wires):
+        for helper in (self.clients, *self.racks.values(), self.discovery, self.fault_proxy):
             await helper.end()
         self.history.close()
         _drill_numbers.discard(self._drill_number)
--- a/client_proxy/fault_injection/history.py
+++ b/client_proxy/fault_injection/history.py
@@ -75,6 +75,7 @@
 
 
 def write_all(path: Path, records: Iterable[Record]) -> None:
+    """Write a history file."""
     with path.open("w") as file:
         for record in records:
             file.write(json.dumps(record, separators=(",", ":")) + "\n")
--- a/client_proxy/fault_injection/invariants.py
+++ b/client_proxy/fault_injection/invariants.py
@@ -45,10 +45,12 @@
     why: str
 
     def overlaps(self, begin_s: float, end_s: float) -> bool:
+        """Return whether the span and the given one have a moment in common."""
         return begin_s <= self.end_s and end_s >= self.begin_s
 
 
 def records_of_kind(records: Iterable[Record], kind: str) -> list[Record]:
+    """Return the records of one kind, in their order."""
     return [record for record in records if record["kind"] == kind]
 
 
--- a/client_proxy/fault_injection/load.py
+++ b/client_proxy/fault_injection/load.py
@@ -99,6 +99,7 @@
 
 
 def encode_request(class_name: str, id_: str, key: str, left_ms: int, is_retry: bool) -> bytes:
+    """Return the bytes of a request in the format of the platform's clients."""
     lines = [
         f"{'POST'} /{class_name}/{key} HTTP/1.1",
         "Host: app.svc",
@@ -240,6 +241,7 @@
             await asyncio.sleep(PROBE_S)
 
     async def end(self) -> Json:
+        """Start no more requests, wait for the open ones, and return the counts of endings."""
         self._stopped = True
         for task in self._tasks[: len(self._targets)]:
             task.cancel()
@@ -253,6 +255,7 @@
         return {"counts": dict(self.counts), "open": len(self._open_requests)}
 
     def ready(self) -> Json:
+        """Return the instances whose last probe was answered with 200, and the counts of endings."""
         return {"ready": [t.name for t in self._targets if t.ready == 200], "counts": dict(self.counts)}
 
 
--- a/client_proxy/fault_injection/plan.py
+++ b/client_proxy/fault_injection/plan.py
@@ -154,6 +154,7 @@
         return self
 
     def label(self) -> str:
+        """Return a short description for progress lines and errors."""
         target = f" {'<>' if self.back else '>'} {','.join(self.to)}" if self.to else ""
         return f"{self.kind} {','.join(self.who)}{target}"
 
@@ -237,9 +238,11 @@
         return self
 
     def instances(self) -> tuple[str, ...]:
+        """Return the names of the instances."""
         return tuple(f"i{n}" for n in range(self.fleet.instances))
 
     def racks(self) -> tuple[str, ...]:
+        """Return the names of the racks."""
         return tuple(f"r{n}" for n in range(self.fleet.racks))
 
     def servers(self) -> dict[str, str]:
@@ -247,6 +250,7 @@
         return {f"{rack}-{n + 1}": rack for rack in self.racks() for n in range(self.fleet.per_rack)}
 
     def hall(self, rack: str) -> str:
+        """Return the hall of a rack."""
         return f"h{int(rack[1:]) % self.fleet.halls}"
 
 
--- a/client_proxy/fault_injection/scenario_runner.py
+++ b/client_proxy/fault_injection/scenario_runner.py
@@ -70,6 +70,7 @@
     folder: str = ""
 
     def rules(self) -> list[str]:
+        """Return the names of the broken rules."""
         return sorted({breach.rule for breach in self.breaches})
 
     def to_json(self) -> dict[str, Any]:
@@ -116,7 +117,7 @@
         await self._end_instances()
         affected = {name for fault in self.plan.fault for name in fault.who}
         unaffected_racks = [helper for name, helper in fleet.racks.items() if name not in affected]
-        for helper in (fleet.wires, fleet.clients, *unaffected_racks):
+        for helper in (fleet.fault_proxy, fleet.clients, *unaffected_racks):
             if helper.up:
                 late = self._lateness_by_process[helper.name] = await helper.ask("late")
                 fleet.history.write("late", time.monotonic(), who=helper.name, worst_s=late["worst_s"])
@@ -239,6 +240,7 @@
                 fleet.record_state(name, "hangs")
 
     async def end(self) -> None:
+        """End all processes. Raises RigError if one is left."""
         pids = [(child.name, child.pid) for child in self._child_processes() if child.pid]
         await self.fleet.end()
         for name, pid in pids:
@@ -248,13 +250,15 @@
 
     def _child_processes(self) -> list[Any]:
         fleet = self.fleet
-        helpers = (fleet.clients, fleet.discovery, fleet.wires)
+        helpers = (fleet.clients, fleet.discovery, fleet.fault_proxy)
         return [*fleet.instances.values(), *fleet.racks.values(), *helpers]
 
     def lateness(self) -> dict[str, Any]:
+        """Return, by process of the drill's own, how late its timers were."""
         return self._lateness_by_process
 
     def records(self) -> list[history.Record]:
+        """Return the records of all processes, with log lines, in the order of time."""
         found_records = history.merged(p for p in self.folder.glob("*.jsonl") if p.name != "history.jsonl")
         begin_times_s = [r["t"] for r in found_records if r["kind"] == "begin"]
         if begin_times_s:
--- a/client_proxy/fault_injection/versions.py
+++ b/client_proxy/fault_injection/versions.py
@@ -78,6 +78,7 @@
 def observe_requests(
     plan: Plan, records: Sequence[Record], decided: dict[int, DecidedVersion]
 ) -> tuple[list[ObservedRequest], list[Breach]]:
+    """Return the requests that reached servers, and the breaches of the rules `nowhere` and `mixed`."""
     ops = {op["id"]: op for op in records_of_kind(records, "op")}
     reached: dict[str, list[Record]] = defaultdict(list)
     for arrival in arrivals(records):
