--- a/tests/fault_injection/test_drills.py
+++ b/tests/fault_injection/test_drills.py
@@ -1,4 +1,4 @@
-"""Whole drills: real processes with faults between them, broken builds that are caught, and no orphans."""
+"""Tests of drills on real processes: faults, broken builds that are caught, and no processes left behind."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 from client_proxy.fault_injection.plan import AimTable, FaultTable, FleetTable, LoadTable, Plan
 from client_proxy.fault_injection.scenario_runner import Verdict
 
-QUICK = AimTable(whole_s=2.0, stale_s=1.5)
+SHORT_AIMS = AimTable(whole_s=2.0, stale_s=1.5)
 
 
-def plan(*faults: FaultTable, aim: AimTable = QUICK, **fleet: object) -> Plan:
-    stated = FleetTable.model_validate({"instances": 3, "racks": 2, "per_rack": 2, **fleet})
+def make_plan(*faults: FaultTable, aim: AimTable = SHORT_AIMS, **fleet: object) -> Plan:
+    drill_plan = FleetTable.model_validate({"instances": 3, "racks": 2, "per_rack": 2, **fleet})
     load = LoadTable(rate=25)
-    return Plan(name="drill", seed=4, length_s=5.0, fleet=stated, aim=aim, load=load, fault=faults)
+    return Plan(name="drill", seed=4, length_s=5.0, fleet=drill_plan, aim=aim, load=load, fault=faults)
 
 
-def played(stated: Plan, folder: Path) -> Verdict:
-    verdict = asyncio.run(scenario_runner.run(stated, folder / "d"))
+def run_drill(drill_plan: Plan, folder: Path) -> Verdict:
+    verdict = asyncio.run(scenario_runner.run(drill_plan, folder / "d"))
     assert verdict.outcome != "refused", verdict.why
     return verdict
 
 
-def test_kills_stops_and_cuts_between_processes_and_service_is_whole_after_them(tmp_path: Path) -> None:
-    stated = plan(
+def test_service_is_restored_after_kills_stops_and_link_faults(tmp_path: Path) -> None:
+    drill_plan = make_plan(
         FaultTable(kind="kill", who=("i1",), at_s=0.5, for_s=0.5),
         FaultTable(kind="silent", who=("r1",), to=("i0",), back=False, at_s=0.5, for_s=1.5),
         FaultTable(kind="reset", who=("i2",), to=("r0",), at_s=1.0, for_s=0.5),
         FaultTable(kind="stop", who=("i2",), at_s=2.5, for_s=1.0),
     )
-    verdict = played(stated, tmp_path)
+    verdict = run_drill(drill_plan, tmp_path)
     assert verdict.outcome == "passed", (verdict.why, verdict.breaches[:3])
     folder = Path(verdict.folder)
     seen = {r["what"]: r["seen"] for r in history.read(folder / "history.jsonl") if r["kind"] == "fault"}
@@ -48,41 +48,41 @@
     assert seen["stop"] == {"i2": {"state": "T"}}
     assert seen["reset"]["wires"]["bitten"] > 0
     assert seen["silent"]["wires"]["bitten"] + seen["silent"]["wires"]["hanging_dials"] > 0
-    # Handed on, the folder gives the same verdict.
+    # Judged again from its folder, the drill gets the same verdict.
     again = scenario_runner.judge_folder(folder)
     assert (again.outcome, again.figures) == (verdict.outcome, verdict.figures)
     assert verdict.figures["served"] > 200
 
 
-def test_a_list_that_some_never_took_is_told_by_name(tmp_path: Path) -> None:
-    stated = plan(
+def test_instances_that_keep_an_old_list_are_reported(tmp_path: Path) -> None:
+    drill_plan = make_plan(
         FaultTable(kind="kill", who=("i1",), at_s=0.3, for_s=1.5),
         FaultTable(kind="list", who=("i0", "i1"), at_s=1.0, drop=("r1-2",)),
         FaultTable(kind="spoilt-list", who=("i2",), at_s=1.0, drop=("r1-2",)),
     )
-    verdict = played(stated, tmp_path)
+    verdict = run_drill(drill_plan, tmp_path)
     assert {(b.rule, b.who) for b in verdict.breaches} == {("stale", "i1"), ("stale", "i2")}
 
 
-def test_the_platforms_line_without_its_discovery_for_a_while(tmp_path: Path) -> None:
-    stated = plan(
+def test_instances_of_the_platforms_line_pass_without_discovery_for_a_while(tmp_path: Path) -> None:
+    drill_plan = make_plan(
         FaultTable(kind="kill", who=("d",), at_s=0.5, for_s=1.5),
         FaultTable(kind="term", who=("i1",), at_s=0.7, for_s=0.5),
         line="run",
     )
-    verdict = played(stated, tmp_path)
+    verdict = run_drill(drill_plan, tmp_path)
     assert verdict.outcome == "passed", (verdict.why, verdict.breaches[:3])
 
 
-def test_keys_of_gossip_are_changed_while_one_instance_stands_still(tmp_path: Path) -> None:
-    """Also: `serve` reads them again on SIGHUP, and does not end by it."""
-    everyone = ("i0", "i1", "i2")
-    verdict = played(
-        plan(
-            FaultTable(kind="rotate", who=everyone, groups=(1, 2), at_s=0.5),
+def test_gossip_keys_are_rotated_while_one_instance_is_stopped(tmp_path: Path) -> None:
+    """SIGHUP makes `serve` read its keys again and does not end it."""
+    all_instances = ("i0", "i1", "i2")
+    verdict = run_drill(
+        make_plan(
+            FaultTable(kind="rotate", who=all_instances, groups=(1, 2), at_s=0.5),
             FaultTable(kind="stop", who=("i2",), at_s=1.0, for_s=1.5),
-            FaultTable(kind="rotate", who=everyone, groups=(2, 1), at_s=1.5),
-            FaultTable(kind="rotate", who=everyone, groups=(2,), at_s=3.5),
+            FaultTable(kind="rotate", who=all_instances, groups=(2, 1), at_s=1.5),
+            FaultTable(kind="rotate", who=all_instances, groups=(2,), at_s=3.5),
             gossip=True,
         ),
         tmp_path,
@@ -91,17 +91,17 @@
 
 
 def build_broken_checkout(folder: Path, file: str, old: str, new: str) -> str:
-    """A copy of the program with one thing broken."""
-    made = folder / "broken"
+    """Copy the program to a folder with one text of one file replaced, and return the folder."""
+    target = folder / "broken"
     shutil.copytree(
-        ROOT / "client_proxy", made / "client_proxy", ignore=shutil.ignore_patterns("__pycache__")
+        ROOT / "client_proxy", target / "client_proxy", ignore=shutil.ignore_patterns("__pycache__")
     )
-    shutil.copytree(ROOT / "deploy", made / "deploy")
-    path = made / "client_proxy" / file
+    shutil.copytree(ROOT / "deploy", target / "deploy")
+    path = target / "client_proxy" / file
     text = path.read_text()
     assert text.count(old) == 1, f"{file}: {old!r}"
     path.write_text(text.replace(old, new))
-    return str(made)
+    return str(target)
 
 
 BROKEN = {
@@ -133,28 +133,32 @@
 
 
 @pytest.mark.parametrize("rule", BROKEN)
-def test_a_broken_build_is_caught_by_name_beside_good_ones(rule: str, tmp_path: Path) -> None:
-    all_ = ("i0", "i1", "i2")
-    # Requests take long, and meanwhile their connections break, six times: some of them have run by then.
+def test_a_broken_build_is_caught_and_good_ones_beside_it_are_not(rule: str, tmp_path: Path) -> None:
+    all_instances = ("i0", "i1", "i2")
+    # Connections are reset six times while requests take long, so that some of them have run by then.
     breaks = [
-        FaultTable(kind="reset", who=all_, to=(f"r{n % 3}",), at_s=0.8 + n / 2, for_s=0.1) for n in range(6)
+        FaultTable(kind="reset", who=all_instances, to=(f"r{n % 3}",), at_s=0.8 + n / 2, for_s=0.1)
+        for n in range(6)
     ]
-    faults = [FaultTable(kind="list", who=all_, at_s=0.5, drop=("r1-2",)), *breaks]
-    stated = plan(*faults, racks=3, others={"i1": build_broken_checkout(tmp_path, *BROKEN[rule])})
-    stated = stated.model_copy(update={"load": LoadTable(rate=30, work_ms=100.0, unsafe_share=0.9)})
-    verdict = played(stated, tmp_path)
+    faults = [FaultTable(kind="list", who=all_instances, at_s=0.5, drop=("r1-2",)), *breaks]
+    drill_plan = make_plan(*faults, racks=3, others={"i1": build_broken_checkout(tmp_path, *BROKEN[rule])})
+    drill_plan = drill_plan.model_copy(update={"load": LoadTable(rate=30, work_ms=100.0, unsafe_share=0.9)})
+    verdict = run_drill(drill_plan, tmp_path)
     assert verdict.outcome == "failed", verdict.why
     assert {b.who for b in verdict.breaches if b.rule == rule} == {"i1"}
     assert not [b for b in verdict.breaches if b.who in ("i0", "i2")], verdict.breaches[:5]
 
 
-def test_a_fault_that_does_not_happen_is_an_error_and_no_pass(tmp_path: Path) -> None:
-    nothing = FaultTable(kind="slow-disk", who=("i0",), ms=50.0, at_s=0.2, for_s=0.3)
-    verdict = played(plan(nothing), tmp_path)
+def test_a_fault_that_does_not_happen_is_an_error(tmp_path: Path) -> None:
+    without_effect = FaultTable(kind="slow-disk", who=("i0",), ms=50.0, at_s=0.2, for_s=0.3)
+    verdict = run_drill(make_plan(without_effect), tmp_path)
     assert verdict.outcome == "error"
     assert "did not happen at i0" in verdict.why
-    twice = FaultTable(kind="kill", who=("i0",), at_s=0.2), FaultTable(kind="stop", who=("i0",), at_s=1.0)
-    verdict = played(plan(*twice), tmp_path / "more")
+    two_faults = (
+        FaultTable(kind="kill", who=("i0",), at_s=0.2),
+        FaultTable(kind="stop", who=("i0",), at_s=1.0),
+    )
+    verdict = run_drill(make_plan(*two_faults), tmp_path / "more")
     assert verdict.outcome == "error"
     assert "gone before" in verdict.why
 
@@ -163,7 +167,7 @@
     file = tmp_path / "p.toml"
     fault = 'kind = "stop"\nwho = ["i1"]\nat_s = 0.1\nfor_s = 50'
     file.write_text(f'name = "p"\nlength_s = 60\n[[fault]]\n{fault}\n')
-    words = [
+    command = [
         sys.executable,
         "-m",
         "client_proxy.cli",
@@ -174,10 +178,10 @@
         str(tmp_path / "o"),
     ]
 
-    def until(holds: Callable[[], bool]) -> None:
+    def wait_until(condition: Callable[[], bool]) -> None:
         async def wait() -> None:
             async with asyncio.timeout(60):
-                while not holds():
+                while not condition():
                     await asyncio.sleep(0.02)
 
         asyncio.run(wait())
@@ -193,10 +197,10 @@
                 found += [int(entry)] if parent == pid else []
         return found
 
-    with subprocess.Popen(words, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL) as made:
-        until(lambda: any(process_state(pid) == "T" for pid in children(made.pid)))
-        pids = children(made.pid)
+    with subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL) as target:
+        wait_until(lambda: any(process_state(pid) == "T" for pid in children(target.pid)))
+        pids = children(target.pid)
         assert len(pids) >= 3 + 3 + 2  # instances, racks, wires, clients
-        made.send_signal(signal.SIGKILL)
-        made.wait()
-    until(lambda: all(process_state(pid) in ("", "Z") for pid in pids))
+        target.send_signal(signal.SIGKILL)
+        target.wait()
+    wait_until(lambda: all(process_state(pid) in ("", "Z") for pid in pids))
--- a/tests/fault_injection/test_soak.py
+++ b/tests/fault_injection/test_soak.py
@@ -1,4 +1,4 @@
-"""The restart soak: some seeds against a real proxy, and each of its rules on a planted fault."""
+"""Tests of the restart soak: some seeds against a real proxy, and each rule on a planted breach."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_restart_under_signals_stops_and_faults_keeps_the_rules(seed: int, tmp_path: Path) -> None:
+def test_a_restart_under_signals_stops_and_faults_breaks_no_rule(seed: int, tmp_path: Path) -> None:
     async def run() -> None:
         async with asyncio.timeout(LIMIT_S):
             verdict = await play(seed, tmp_path / "run")
@@ -52,25 +52,30 @@
     uvloop.run(run())
 
 
-def test_a_schedule_is_the_seed_s_and_nothing_else_s() -> None:
+def test_a_schedule_depends_on_the_seed_only() -> None:
     assert schedule(43) == schedule(43)
     assert schedule(43) != schedule(44)
 
 
-def test_schedules_have_all_that_the_soak_is_for() -> None:
+def test_schedules_cover_all_client_kinds_crowds_and_late_signals() -> None:
     drawn = [schedule(seed) for seed in range(1, 61)]
-    assert {client.kind for each in drawn for client in each.clients} == set(ClientKind)
-    assert {each.crowd for each in drawn} == {0, CROWD_CONNECTIONS}
-    assert any(each.early_terminations_s for each in drawn)
-    for each in drawn:
-        assert MIN_LONGEST_DEADLINE_S <= each.longest_deadline_s <= MAX_LONGEST_DEADLINE_S
-        assert each.kill_s == each.terminate_s + each.longest_deadline_s + KILL_MARGIN_S
-        assert any(planned.at_s > each.kill_s - 0.5 for planned in each.series)
-        assert any(client.connect_s > each.terminate_s for client in each.clients)
+    assert {client.kind for drawn_schedule in drawn for client in drawn_schedule.clients} == set(ClientKind)
+    assert {drawn_schedule.crowd for drawn_schedule in drawn} == {0, CROWD_CONNECTIONS}
+    assert any(drawn_schedule.early_terminations_s for drawn_schedule in drawn)
+    for drawn_schedule in drawn:
+        assert MIN_LONGEST_DEADLINE_S <= drawn_schedule.longest_deadline_s <= MAX_LONGEST_DEADLINE_S
+        assert (
+            drawn_schedule.kill_s
+            == drawn_schedule.terminate_s + drawn_schedule.longest_deadline_s + KILL_MARGIN_S
+        )
+        assert any(
+            planned_signal.at_s > drawn_schedule.kill_s - 0.5 for planned_signal in drawn_schedule.series
+        )
+        assert any(client.connect_s > drawn_schedule.terminate_s for client in drawn_schedule.clients)
 
 
 def request(trace_id: str = "000000", class_name: str = KEYED) -> SentRequest:
-    """One that was sent at 10 s with a second to wait, and answered after 0.2 s."""
+    """A request that was sent at 10 s with a deadline of 1 s, and answered after 0.2 s."""
     return SentRequest(
         trace_id, class_name, 0, False, 10.0, 1.0, sent_s=10.0, answers=[Answer(10.2, 200, trace_id.encode())]
     )
@@ -95,47 +100,47 @@
     assert broken_rules(history) == set()
 
 
-def test_a_second_answer_is_seen() -> None:
+def test_a_second_answer_is_a_breach() -> None:
     sent = request()
     sent.answers.append(Answer(10.3, 200, sent.trace_id.encode()))
     assert broken_rules(history_of(sent, arrival())) == {"one answer"}
 
 
-def test_an_answer_to_nothing_is_seen() -> None:
+def test_an_answer_without_a_request_is_a_breach() -> None:
     assert broken_rules(History(unexpected_answers=[(1.0, 0)])) == {"one answer"}
 
 
-def test_bytes_that_are_no_answer_are_seen() -> None:
+def test_bytes_that_are_not_http_are_a_breach() -> None:
     assert broken_rules(History(malformed=[(1.0, 0)])) == {"one answer"}
 
 
-def test_the_answer_of_another_request_is_seen() -> None:
+def test_the_answer_of_another_request_is_a_breach() -> None:
     sent = request()
     sent.answers = [Answer(10.2, 200, b"000001")]
     assert broken_rules(history_of(sent, arrival())) == {"own answer"}
 
 
 @pytest.mark.parametrize(("crowd", "broken"), [(0, {"accepts"}), (CROWD_CONNECTIONS, set())])
-def test_a_connection_that_is_turned_away_is_seen_unless_a_crowd_fills_the_descriptors(
+def test_a_refused_connection_is_a_breach_unless_idle_ones_use_up_the_descriptors(
     crowd: int, broken: set[str]
 ) -> None:
     assert broken_rules(History(refused_connections_s=[1.0]), replace(schedule(), crowd=crowd)) == broken
 
 
-def test_a_request_that_a_server_saw_and_nobody_answered_is_seen() -> None:
+def test_an_unanswered_request_that_a_server_read_is_a_breach() -> None:
     sent = request()
     sent.answers, sent.connection_ended_s = [], 10.001
     assert broken_rules(history_of(sent, arrival(10.0005))) == {"one answer"}
 
 
 @pytest.mark.parametrize(("ended_s", "broken"), [(10.1, {"one answer"}), (10.01, set())])
-def test_a_request_on_an_open_connection_is_owed_an_answer(ended_s: float, broken: set[str]) -> None:
+def test_an_unanswered_request_on_an_open_connection_is_a_breach(ended_s: float, broken: set[str]) -> None:
     sent = request()
     sent.answers, sent.connection_ended_s = [], ended_s
     assert broken_rules(history_of(sent)) == broken
 
 
-def test_only_the_first_request_of_a_connection_under_a_crowd_may_be_shut_unread() -> None:
+def test_only_the_first_request_of_a_connection_may_be_closed_unread_and_only_in_a_crowd() -> None:
     crowded = replace(schedule(), crowd=CROWD_CONNECTIONS)
     sent = request()
     sent.answers, sent.connection_ended_s = [], 10.1
@@ -144,7 +149,7 @@
     assert broken_rules(history_of(sent), crowded) == set()
 
 
-def test_a_late_answer_is_seen_and_one_behind_an_earlier_request_is_not_late() -> None:
+def test_a_late_answer_is_a_breach_unless_it_had_to_wait_for_an_earlier_one() -> None:
     sent = request()
     sent.answers = [Answer(11.6, 504)]
     history = history_of(sent, arrival())
@@ -154,19 +159,19 @@
     assert broken_rules(history) == set()
 
 
-def test_what_is_sent_for_a_client_that_has_left_is_seen() -> None:
+def test_an_attempt_for_a_client_that_has_left_is_a_breach() -> None:
     sent = request()
     sent.answers, sent.left_s = [], 10.05
     assert broken_rules(history_of(sent, arrival(10.14))) == set()
     assert broken_rules(history_of(sent, arrival(10.16, stated_time_left_s=0.8))) == {"client left"}
 
 
-def test_a_told_time_past_the_slack_is_seen() -> None:
+def test_a_stated_time_left_beyond_the_tolerance_is_a_breach() -> None:
     assert broken_rules(history_of(request(), arrival(10.1, stated_time_left_s=1.04))) == set()
     assert broken_rules(history_of(request(), arrival(10.1, stated_time_left_s=1.06))) == {"told time"}
 
 
-def test_a_request_that_nobody_sent_is_seen() -> None:
+def test_an_arrival_without_a_request_is_a_breach() -> None:
     assert broken_rules(History(arrivals=[arrival()])) == {"told time"}
 
 
@@ -180,7 +185,7 @@
         (UNSAFE, Treatment.REFUSED, 0, set()),
     ],
 )
-def test_a_repeat_that_the_class_forbids_is_seen(
+def test_a_repeat_that_the_class_forbids_is_a_breach(
     class_name: str, first: Treatment, cell: int, broken: set[str]
 ) -> None:
     earlier = arrival(10.1)
@@ -191,9 +196,13 @@
     assert broken_rules(history) == broken
 
 
-def test_a_repeat_after_the_window_is_seen() -> None:
+def test_a_repeat_after_the_deduplication_window_is_a_breach() -> None:
     drawn = schedule()
-    keyed = next(cls for cls in drawn.classes if cls.idempotency is Idempotency.IDEMPOTENCY_KEY)
+    keyed = next(
+        request_class
+        for request_class in drawn.classes
+        if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+    )
     later_s = 10.1 + keyed.window_s + 0.01
     sent = replace(request(), expires_s=10.0)
     history = history_of(sent, arrival(10.1), arrival(later_s, stated_time_left_s=1.0))
@@ -213,18 +222,16 @@
         (ProcessEnd(-signal.SIGKILL, True, False, ""), set()),
     ],
 )
-def test_a_process_that_ends_otherwise_than_by_the_kill_or_in_order_is_seen(
-    end: ProcessEnd, broken: set[str]
-) -> None:
+def test_an_exit_other_than_by_the_kill_or_gracefully_is_a_breach(end: ProcessEnd, broken: set[str]) -> None:
     assert broken_rules(History(ends=[end])) == broken
 
 
 @pytest.mark.parametrize("after", [ResourceCount(23, 2), ResourceCount(20, 3)])
-def test_what_is_held_after_the_clients_have_gone_is_seen(after: ResourceCount) -> None:
+def test_descriptors_and_threads_left_after_the_clients_are_a_breach(after: ResourceCount) -> None:
     assert broken_rules(History(resources=[ResourceCount(20, 2), after])) == {"resources"}
 
 
-def test_a_harness_that_was_late_gives_no_verdict() -> None:
+def test_a_run_with_a_late_harness_has_no_verdict() -> None:
     history = history_of(request(), arrival())
     assert judge(schedule(), history).outcome == "passed"
     history.worst_lateness_s = 0.3
