--- a/client_proxy/fault_injection/discovery.py
+++ b/client_proxy/fault_injection/discovery.py
@@ -10,7 +10,7 @@
 from client_proxy.emulator.event_log import Notification
 from client_proxy.emulator.listeners import SocketListener
 from client_proxy.emulator.registry import Registry
-from client_proxy.emulator.scenario_reader import parse_scenario as parse_scenario
+from client_proxy.emulator.scenario_reader import parse_scenario
 from client_proxy.fault_injection.helper import Json, Order, serve
 from client_proxy.fault_injection.history import Writer
 
--- a/client_proxy/fault_injection/explore.py
+++ b/client_proxy/fault_injection/explore.py
@@ -12,7 +12,7 @@
 
 from client_proxy.fault_injection.plan import FaultTable, Plan
 
-MAX_FAULTS = 5  # of a plan, without those that accompany others
+MAX_FAULTS = 5  # faults of a random plan, without the changes that accompany them
 MIN_DURATION_S, MAX_DURATION_S = 0.5, 4.0  # shortest and longest duration of a fault
 MARGIN_S = 1.0  # before the first fault, and between two faults of one process
 MIN_DISCOVERY_SILENCE_S = 3.0  # shortest silence of discovery
@@ -20,31 +20,14 @@
 # Faults in fleets with an agreed policy. A disk fault comes with a change, since without one nothing is
 # written and the fault would have no effect.
 KINDS_WITH_SEATS = [
-    "kill",
-    "term",
-    "stop",
-    "busy",
-    "clock",
-    "clients-silent",
-    "rack-kill",
-    "rack-stop",
-    "bad-start",
-]
+    "kill", "term", "stop", "busy", "clock", "clients-silent", "rack-kill", "rack-stop", "bad-start",
+]  # fmt: skip
 KINDS_WITH_SEATS += [
-    "loss",
-    "late",
-    "twice",
-    "reorder",
-    "loss",
-    "late",
-    "twice",
-    "reorder",
-    "lost-disk",
-    "future",
-]
+    "loss", "late", "twice", "reorder", "loss", "late", "twice", "reorder", "lost-disk", "future",
+]  # fmt: skip
 KINDS_WITH_SEATS += ["full", "slow-disk", "torn", "die-at", "die-after"]
 KINDS_WITH_CHANGE = ("full", "slow-disk", "torn", "die-at")
-MAX_CHANGES = 4
+MAX_CHANGES = 4  # further changes in a fleet with an agreed policy
 CHANGE_DURATION_S = 3.5  # time within which a change is decided, even if some acceptors don't answer
 DISK_FAULT_LEAD_S = 0.25  # from the start of a disk fault to its change
 AUTHOR_DEATH_LEAD_S = 0.05  # from arming the death of an author to its change
@@ -73,7 +56,7 @@
     Args:
         base: The plan whose faults are replaced.
         seed: Seed of the faults.
-        max_faults: Most faults, without those that accompany others.
+        max_faults: Most faults, without the changes that accompany them.
     """
     random = Random(f"{base.seed}/{seed}")
     candidates = base.instances()[: base.fleet.seats] or base.instances()  # only voters propose changes
--- a/client_proxy/fault_injection/faults.py
+++ b/client_proxy/fault_injection/faults.py
@@ -160,6 +160,7 @@
         fleet.ended_by_plan.discard(name)
 
     async def _expect_death(self, name: str) -> None:
+        """Check that the instance has killed itself at the ordered step."""
         child = self.fleet.process_by_name(name)
         code = await child.wait_for_exit(0.0)
         if code != -9:
@@ -169,6 +170,7 @@
         self.fleet.record_state(name, "ended", code=code)
 
     async def _bad_start(self, name: str) -> None:
+        """Restart an instance with a broken configuration, and check that it exits with an error."""
         await self._kill_victim(name)
         await self.fleet.start_instance(name, broken=True)
         code = await self.fleet.instances[name].wait_for_exit(DEATH_TIMEOUT_S)
@@ -178,6 +180,7 @@
         self.fleet.record_state(name, "ended", code=code)
 
     async def _delete_disk(self, name: str) -> None:
+        """Kill an instance and delete what it stored."""
         kept = self.fleet.home(name) / "kept"
         if not kept.exists():
             raise self._not_happened(name, f"there is no folder {kept}")
@@ -287,6 +290,7 @@
             raise self._not_happened(name, "the layer counted no affected operation")
 
     async def _verify_clock(self, name: str, previous: Json, answer: Json) -> None:
+        """Check that the instance's clock ran at the stated rate between two answers."""
         span_s = answer["true_s"] - previous["true_s"]
         rate = (answer["told_s"] - previous["told_s"]) / max(1e-9, span_s)
         self._add_evidence(name, rate=round(rate, 4), off_s=round(previous["unix_s"] - time.time(), 3))
--- a/client_proxy/fault_injection/fleet.py
+++ b/client_proxy/fault_injection/fleet.py
@@ -21,7 +21,7 @@
 from client_proxy.fault_injection.load import KEYED, UNSAFE
 from client_proxy.fault_injection.plan import FaultTable, Plan
 
-POLL_MS, SETTLE_MS = 100, 200  # period of the file watcher, and how long a file must stay unchanged
+POLL_MS, SETTLE_MS = 100, 200  # period of the file watcher; how long a file must stay unchanged
 GOSSIP_PORT = 7946
 SERVER_TYPE = ServerType(
     "drill", cores=4, queue_per_core=25.0, max_connections=400, handshake_ms=0.5, idle_timeout_s=60.0
@@ -166,6 +166,7 @@
             await self.wait_for_instance(name)
 
     async def _link(self, id_: str, to: Any, host: int = 251) -> None:
+        """Make the relay of a link, or change its target if it exists."""
         if id_ in self.links:
             await self.fault_proxy.ask("aim", id=id_, to=to)
         else:
@@ -268,6 +269,7 @@
         os.replace(draft, self.home(name) / "servers.toml")
 
     def _server_list_file(self, name: str) -> bytes:
+        """Return an instance's server list, sealed with its version."""
         lines: list[str] = []
         for server, rack in self.plan.servers().items():
             if server not in self.dropped[name]:
@@ -400,6 +402,7 @@
         return f"h{self._ordinal(name) % self.plan.fleet.halls}"
 
     def _serve_file(self, name: str) -> str:
+        """Return an instance's `serve.toml`, and write its operators' file if it needs one."""
         operators = self._operators_file(name)
         if operators:
             (self.home(name) / "operators.toml").write_text(operators)
@@ -417,6 +420,7 @@
 {self._class_tables()}"""
 
     def _class_tables(self) -> str:
+        """Return the `[[class]]` tables of the two request classes."""
         load = self.plan.load
         objective_ms = 0.6 * load.deadline_ms
         return f"""[[class]]
@@ -436,6 +440,7 @@
 """
 
     def _operators_file(self, name: str) -> str:
+        """Return the operators' file of an instance; "" if it needs none."""
         text = "" if self.plan.fleet.whole else self.plan.fleet.features
         if self.plan.fleet.gossip:
             seeds = [f'"{self.host(1 + n)}:{GOSSIP_PORT}"' for n in range(min(3, len(self.instances)))]
@@ -467,6 +472,7 @@
         os.replace(draft, self.home(name) / f"{name}.keys")
 
     def _platform_config(self, name: str) -> dict[str, Any]:
+        """Return an instance's configuration in the platform's format."""
         scenario = rack_scenario(self.plan, self.plan.racks(), halls=True)
         host, port = self.links[f"{name}>d"]
         return {
--- a/client_proxy/fault_injection/helper.py
+++ b/client_proxy/fault_injection/helper.py
@@ -1,6 +1,7 @@
 """The main loop of the drill's own processes: JSON orders on standard input, answers on standard output.
 
-A helper ends at the end of its standard input, so that none outlives the drill, however the drill ended."""
+A helper ends at the end of its standard input, so that none outlives the drill, however the drill ended.
+"""
 
 from __future__ import annotations
 
@@ -26,6 +27,7 @@
         self.ticks = 0
 
     async def watch(self) -> None:
+        """Measure the lateness of a timer of `TICK_S` until cancelled."""
         while True:
             due_s = time.monotonic() + TICK_S
             await asyncio.sleep(TICK_S)
@@ -35,6 +37,7 @@
             self.ticks += 1
 
     def summary(self) -> Json:
+        """Return the largest and the mean lateness, in seconds."""
         return {"worst_s": round(self.worst_s, 4), "mean_s": round(self.sum_s / max(1, self.ticks), 5)}
 
 
--- a/client_proxy/fault_injection/load.py
+++ b/client_proxy/fault_injection/load.py
@@ -37,10 +37,10 @@
         self.transport: Any = None
         self.answer: asyncio.Future[tuple[int, bytes]] | None = None
         self.last_id = ""
-        self.used = 0
-        self.unusable = False
+        self.sent_count = 0  # requests sent on it
+        self.unusable = False  # closed, or must not be used again
         self._body = b""
-        self._has_data = False
+        self._has_data = False  # bytes of the present answer have come
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -67,7 +67,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.unusable = True
-        crossed = self.used > 1 and not self._has_data and exc is None
+        crossed = self.sent_count > 1 and not self._has_data and exc is None
         self._fail("crossed" if crossed else "cut")
 
     def _fail(self, reason: str) -> None:
@@ -76,9 +76,10 @@
             self.answer.set_exception(ConnectionError(reason))
 
     def ask(self, id_: str, data: bytes) -> asyncio.Future[tuple[int, bytes]]:
+        """Send a request. The future gets status and body, or a ConnectionError with the attempt's ending."""
         self.answer = asyncio.get_running_loop().create_future()
         self.last_id, self._body, self._has_data = id_, b"", False
-        self.used += 1
+        self.sent_count += 1
         self.transport.write(data)
         return self.answer
 
--- a/client_proxy/fault_injection/servers.py
+++ b/client_proxy/fault_injection/servers.py
@@ -12,7 +12,7 @@
 
 from client_proxy.emulator.event_log import Arrival, ClientAttempt, ServerOutcome
 from client_proxy.emulator.listeners import SocketListener
-from client_proxy.emulator.scenario_reader import parse_scenario as parse_scenario
+from client_proxy.emulator.scenario_reader import parse_scenario
 from client_proxy.emulator.simulation import Simulation
 from client_proxy.fault_injection.helper import Json, Order, serve
 from client_proxy.fault_injection.history import Writer
@@ -47,6 +47,7 @@
         )  # fmt: skip
 
     def write_outcomes(self) -> None:
+        """Write the outcomes of requests that have ended since the last call."""
         for number, arrival in list(self._open.items()):
             if arrival.outcome in FINAL_OUTCOMES:
                 del self._open[number]
