--- a/client_proxy/fault_injection/in_process_faults.py
+++ b/client_proxy/fault_injection/in_process_faults.py
@@ -30,7 +30,7 @@
 import time
 from typing import Any
 
-PR_SET_PDEATHSIG = 1
+PR_SET_PDEATHSIG = 1  # prctl(2): the signal that the kernel sends when the parent dies
 
 counts: collections.Counter[str] = collections.Counter()  # operations affected by faults, by kind
 traffic: collections.Counter[str] = collections.Counter()  # datagrams and bytes sent and received
@@ -40,8 +40,8 @@
     """Replaces the machine's clocks by ones of another rate and with an offset to the time of day."""
 
     def __init__(self) -> None:
-        self.monotonic, self.unix = time.monotonic, time.time
-        self.rate, self.step_s = 1.0, 0.0
+        self.monotonic, self.unix = time.monotonic, time.time  # the machine's clocks
+        self.rate, self.step_s = 1.0, 0.0  # seconds per true second; offset of the time of day
         self._true_s = self._reading_s = time.monotonic()
         self._unix_off_s = time.time() - time.monotonic()
 
@@ -51,9 +51,11 @@
         self.rate, self.step_s = rate, step_s
 
     def now_s(self) -> float:
+        """Return the adjusted monotonic time."""
         return self._reading_s + self.rate * (self.monotonic() - self._true_s)
 
     def unix_s(self) -> float:
+        """Return the adjusted time of day."""
         return self._unix_off_s + self.now_s() + self.step_s
 
     def install(self) -> None:
@@ -113,6 +115,7 @@
                 os.kill(os.getpid(), signal.SIGKILL)
 
     def _refuse(self, path: Any, grows: bool) -> None:
+        """Raise the error of a full or read-only disk. `grows`: the operation needs space."""
         number = {"full": errno.ENOSPC if grows else 0, "read-only": errno.EROFS}.get(self.mode, 0)
         if number and self._is_affected(path):
             counts[self.mode] += 1
--- a/client_proxy/fault_injection/scenario_runner.py
+++ b/client_proxy/fault_injection/scenario_runner.py
@@ -74,6 +74,7 @@
         return sorted({breach.rule for breach in self.breaches})
 
     def to_json(self) -> dict[str, Any]:
+        """Return the verdict as it is written to `verdict.json`."""
         return asdict(self) | {"rules": self.rules()}
 
 
@@ -152,6 +153,7 @@
         raise RigError(f"not all instances are ready after {START_TIMEOUT_S:g} s")
 
     async def _inject(self, fault: Fault) -> None:
+        """Begin and end one fault at its times, and record it."""
         spec = fault.spec
         if spec.when is not None:
             await self._wait_for_log_line(spec.when.of, spec.when.log, spec.when.within_s)
@@ -163,7 +165,7 @@
         if spec.for_s:
             await asyncio.sleep(spec.for_s)
             await fault.revert()
-            self._print_progress(f"{time.monotonic() - self._start_s:6.2f} s  put right: {spec.label()}")
+            self._print_progress(f"{time.monotonic() - self._start_s:6.2f} s  ended: {spec.label()}")
         elif spec.kind in INSTANT_KINDS:
             fault.end_s = time.monotonic()
         else:
--- a/client_proxy/fault_injection/soak/rules.py
+++ b/client_proxy/fault_injection/soak/rules.py
@@ -12,10 +12,10 @@
 from client_proxy.fault_injection.soak.history import Arrival, History, SentRequest, Treatment
 from client_proxy.fault_injection.soak.schedule import ClassPlan, Schedule
 
-LATE_ANSWER_S = 0.5  # an answer is useless after its deadline, and a breach if it is later by more than this
+LATE_ANSWER_S = 0.5  # an answer that is later than its deadline by more than this is a breach
 LEFT_CLIENT_S = 0.1  # after a client has closed its connection its requests may still be sent for this time
 TIME_LEFT_SLACK_S = 0.15  # tolerance of the time left that an attempt states
-SERVED = 200
+SERVED = 200  # HTTP status
 # A request and the close of its connection may cross on the wire, if the request was written no more than
 # this before the client could read the close: neither side can know of the other's (RFC 9112, 9.3.1). A
 # client whose timers are late reads the close later by as much.
@@ -45,7 +45,7 @@
         if request.answers or request.left_s is not None:
             continue
         if request.trace_id in seen_ids:
-            yield f"{request.trace_id}: no answer, though a server saw it; {_timing(request)}"
+            yield f"{request.trace_id}: no answer, though a server read it; {_timing(request)}"
         elif (
             request.sent_s is not None
             and not _crossed(history, request)
@@ -53,9 +53,9 @@
         ):
             yield f"{request.trace_id}: no answer, though it came on an open connection; {_timing(request)}"
     for at_s, connection in history.unexpected_answers:
-        yield f"connection {connection}: an answer to no request at {at_s:.3f} s"
+        yield f"connection {connection}: an answer without a request at {at_s:.3f} s"
     for at_s, connection in history.malformed:
-        yield f"connection {connection}: no HTTP at {at_s:.3f} s"
+        yield f"connection {connection}: bytes that are not HTTP at {at_s:.3f} s"
 
 
 def _own_answer(schedule: Schedule, history: History) -> Iterator[str]:
@@ -70,12 +70,13 @@
     """New connections are accepted to the schedule's end, unless idle ones use up the descriptors."""
     if not schedule.crowd:
         for at_s in history.refused_connections_s:
-            yield f"a connection was turned away at {at_s:.3f} s"
+            yield f"a new connection was refused or reset at {at_s:.3f} s"
 
 
 def _timing(request: SentRequest) -> str:
+    """Return when a request was sent, relative to the end of its connection, for a breach's text."""
     if request.sent_s is None or request.connection_ended_s is None:
-        return "not sent whole, or its connection did not end"
+        return "not sent completely, or its connection did not end"
     before_s = request.connection_ended_s - request.sent_s
     return f"sent {before_s:.3f} s before its connection ended, with {request.expires_s:.3f} s to wait"
 
@@ -113,7 +114,7 @@
         for answer in request.answers:
             if request.trace_id in due_s and answer.at_s > due_s[request.trace_id] + LATE_ANSWER_S:
                 late_s = answer.at_s - due_s[request.trace_id]
-                yield f"{request.trace_id}: answered {answer.status} {late_s:.2f} s past its time"
+                yield f"{request.trace_id}: answered {answer.status} {late_s:.2f} s after its deadline"
 
 
 def _nothing_for_clients_that_left(schedule: Schedule, history: History) -> Iterator[str]:
@@ -132,11 +133,11 @@
     for arrival in history.arrivals:
         request = history.requests.get(arrival.trace_id)
         if request is None or request.sent_s is None:
-            yield f"{arrival.trace_id}: {arrival.server} saw a request that no client has sent"
+            yield f"{arrival.trace_id}: {arrival.server} read a request that no client has sent"
             continue
         left_s = request.sent_s + request.expires_s - arrival.at_s
         if arrival.stated_time_left_s > left_s + TIME_LEFT_SLACK_S:
-            yield f"{arrival.trace_id}: told {arrival.stated_time_left_s:.3f} s with {left_s:.3f} s left"
+            yield f"{arrival.trace_id}: stated {arrival.stated_time_left_s:.3f} s with {left_s:.3f} s left"
 
 
 def _repeats(schedule: Schedule, history: History) -> Iterator[str]:
@@ -153,6 +154,7 @@
 
 
 def _forbidden_repeats(request_class: ClassPlan, arrivals: list[Arrival]) -> Iterator[Arrival]:
+    """Yield the attempts of one request that its class forbids after an earlier one may have run."""
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return
     may_have_run = [arrival for arrival in arrivals if arrival.treatment is not Treatment.REFUSED]
@@ -184,9 +186,9 @@
         return
     before, after = history.resources[0], history.resources[-1]
     if after.descriptors > before.descriptors + EXTRA_DESCRIPTORS:
-        yield f"{after.descriptors} descriptors at rest, {before.descriptors} at first"
+        yield f"{after.descriptors} descriptors without clients, {before.descriptors} before the first client"
     if after.threads > before.threads:
-        yield f"{after.threads} threads at rest, {before.threads} at first"
+        yield f"{after.threads} threads without clients, {before.threads} before the first client"
 
 
 Rule = Callable[[Schedule, History], Iterator[str]]
--- a/client_proxy/fault_injection/soak/schedule.py
+++ b/client_proxy/fault_injection/soak/schedule.py
@@ -77,11 +77,11 @@
     """A server: its latency, its idle connections and its faults."""
 
     name: str
-    cell: int
+    cell: int  # deduplication group, within which repeats of a key are dropped
     least_latency_s: float
     most_latency_s: float
     idle: Idle
-    idle_close_s: float
+    idle_close_s: float  # with `Idle.CLOSE`, seconds from an answer to the close
     faults: tuple[FaultPlan, ...]
 
 
@@ -90,7 +90,7 @@
     """One request of a client's connection."""
 
     class_name: str
-    expires_s: float
+    expires_s: float  # seconds from sending for which the client waits
     think_s: float  # pause after the previous answer, or with PIPELINED after the previous request
     piece_gaps_s: tuple[float, ...] = ()  # between the writes that it is sent in
     leave_after_s: float | None = None  # from sending to the close of the connection by the client
@@ -112,7 +112,7 @@
     """One signal to the proxy."""
 
     at_s: float
-    number: int
+    number: int  # of the signal
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,14 +123,14 @@
     classes: tuple[ClassPlan, ...]
     servers: tuple[ServerPlan, ...]
     clients: tuple[ClientPlan, ...]
-    stops_s: tuple[float, ...]
+    stops_s: tuple[float, ...]  # times of SIGSTOP
     reloads_s: tuple[float, ...]  # times of a new configuration with another discovery, and SIGHUP
-    terminate_s: float
+    terminate_s: float  # time of the first SIGTERM
     series: tuple[SignalPlan, ...]  # signals besides the SIGTERM itself
     accept_s: float  # seconds after the SIGTERM in which new connections are opened
     early_terminations_s: tuple[float, ...]  # seconds from start to SIGTERM, of earlier proxies
     crowd: int  # number of idle connections
-    descriptors: int
+    descriptors: int  # limit of the proxy
 
     @property
     def longest_deadline_s(self) -> float:
--- a/tests/fault_injection/test_drills.py
+++ b/tests/fault_injection/test_drills.py
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("rule", BROKEN)
-def test_a_broken_build_is_caught_and_good_ones_beside_it_are_not(rule: str, tmp_path: Path) -> None:
+def test_a_broken_build_is_caught_and_good_builds_beside_it_are_not(rule: str, tmp_path: Path) -> None:
     all_instances = ("i0", "i1", "i2")
     # Connections are reset six times while requests take long, so that some of them have run by then.
     breaks = [
