--- a/client_proxy/fault_injection/changes.py
+++ b/client_proxy/fault_injection/changes.py
@@ -112,10 +112,10 @@
     if fault.kind == "back" and outcome["what"] == "decided":
         details = fleet.versions.get(fault.version, {})
     if fault.kind == "reseat":
-        details = fleet.versions.get(fleet.newest_version, {})
+        details = fleet.versions.get(fleet.latest_agreed_version, {})
     if outcome["what"] == "decided":
-        fleet.newest_version = int(outcome["version"])
-        fleet.versions[fleet.newest_version] = details
+        fleet.latest_agreed_version = int(outcome["version"])
+        fleet.versions[fleet.latest_agreed_version] = details
     fleet.history.write(
         "change", begin_s, name=change, instance=name, what=outcome["what"],
         version=outcome.get("version", 0), servers=details.get("servers", []),
--- a/client_proxy/fault_injection/command.py
+++ b/client_proxy/fault_injection/command.py
@@ -90,7 +90,7 @@
 
         draw(drill_plan, list(history.read(Path(verdict.folder) / "history.jsonl")), verdict, page)
     if as_json:
-        click.echo(json.dumps(verdict.to_json(), indent=1))
+        click.echo(json.dumps(verdict.as_dict(), indent=1))
     else:
         show(verdict, Console())
     if verdict.outcome == "passed" and not keep:
@@ -166,7 +166,7 @@
                 verdict = await scenario_runner.run(random_plan, new_folder(out, random_plan.name))
                 verdicts.append(verdict)
                 with (out / "found.jsonl").open("a") as file:
-                    file.write(json.dumps(verdict.to_json()) + "\n")
+                    file.write(json.dumps(verdict.as_dict()) + "\n")
                 if verdict.outcome == "passed":
                     scenario_runner.remove_folder(Path(verdict.folder))
                 else:
--- a/client_proxy/fault_injection/fleet.py
+++ b/client_proxy/fault_injection/fleet.py
@@ -108,7 +108,7 @@
             "features": plan.fleet.features if plan.fleet.whole else "",
         }
         self.versions: dict[int, dict[str, Any]] = {1: first_version}  # agreed ones, by number
-        self.newest_version = 1
+        self.latest_agreed_version = 1
         self.generation = 1  # of the agreement; disaster recovery raises it
         # Voters in the first version of the generation.
         self.voters = set(list(self.instances)[: plan.fleet.seats])
@@ -335,7 +335,7 @@
         Returns:
             The path, and what the file states: servers, attempts and features.
         """
-        newest = self.versions[self.newest_version]
+        newest = self.versions[self.latest_agreed_version]
         dropped = set(drop) if anew else set(drop) | (set(self.plan.servers()) - set(newest["servers"]))
         policy = {
             "servers": [server for server in self.plan.servers() if server not in dropped],
--- a/client_proxy/fault_injection/invariants.py
+++ b/client_proxy/fault_injection/invariants.py
@@ -32,7 +32,7 @@
     who: str
     what: str
 
-    def to_json(self) -> Record:
+    def as_dict(self) -> Record:
         return asdict(self)
 
 
--- a/client_proxy/fault_injection/scenario_runner.py
+++ b/client_proxy/fault_injection/scenario_runner.py
@@ -73,7 +73,7 @@
         """Return the names of the broken rules."""
         return sorted({breach.rule for breach in self.breaches})
 
-    def to_json(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         """Return the verdict as it is written to `verdict.json`."""
         return asdict(self) | {"rules": self.rules()}
 
@@ -361,7 +361,7 @@
     verdict.took_s = round(time.monotonic() - begin_s, 2)
     verdict.folder = str(folder)
     history.write_all(folder / "history.jsonl", records)
-    (folder / "verdict.json").write_text(json.dumps(verdict.to_json(), indent=1))
+    (folder / "verdict.json").write_text(json.dumps(verdict.as_dict(), indent=1))
     return verdict
 
 
--- a/client_proxy/fault_injection/soak/runner.py
+++ b/client_proxy/fault_injection/soak/runner.py
@@ -153,7 +153,7 @@
         hangups = asyncio.create_task(self._send_hangups())
         try:
             await self._child.wait_until_listening(self._address[1], START_TIMEOUT_S)
-            await self._wait_until_ready()
+            await self._poll_until_ready()
         finally:
             hangups.cancel()
         limit = (self.schedule.descriptors, self.schedule.descriptors)
@@ -165,7 +165,7 @@
         while self._child.up and not condition():  # noqa: ASYNC110 - a state in /proc, with no event to wait for
             await asyncio.sleep(POLL_S)
 
-    async def _wait_until_ready(self) -> None:
+    async def _poll_until_ready(self) -> None:
         async with asyncio.timeout(START_TIMEOUT_S):
             while self._child.up:
                 if await self._is_ready():
