--- a/client_proxy/fault_injection/fault_proxy.py
+++ b/client_proxy/fault_injection/fault_proxy.py
@@ -46,7 +46,7 @@
         self._reading_paused = False
         self.sink_full = False  # the sink has paused writing
 
-    def receive(self, data: bytes | None) -> None:
+    def buffer_bytes(self, data: bytes | None) -> None:
         """Buffer bytes from the source, or with None the end of its stream, and send what is due."""
         loop = asyncio.get_running_loop()
         if data is not None and self.direction.bytes_per_s:
@@ -114,7 +114,7 @@
             self._incoming.send_due()
 
     def data_received(self, data: bytes) -> None:
-        self._outgoing.receive(data)
+        self._outgoing.buffer_bytes(data)
 
     def pause_writing(self) -> None:
         self._incoming.sink_full = True
@@ -124,7 +124,7 @@
         self._incoming.send_due()
 
     def eof_received(self) -> bool:
-        self._outgoing.receive(None)
+        self._outgoing.buffer_bytes(None)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -133,7 +133,7 @@
         if exc is not None:
             self._relayed.reset()
         else:
-            self._outgoing.receive(None)
+            self._outgoing.buffer_bytes(None)
         self._relayed.end_closed(self)
 
 
@@ -152,7 +152,7 @@
         self._ended_count = 0
         self.reset_done = False  # reset; an end that is connected later is reset too
 
-    def accept(self) -> asyncio.Protocol:
+    def accept_connection(self) -> asyncio.Protocol:
         """Accept a connection and dial the target, or reset it if the link resets connections."""
         self._link.relayed_connections[self] = None
         self._link.counts["dials"] += 1
@@ -198,8 +198,10 @@
         self.relayed_connections: dict[RelayedConnection, None] = {}
         self.counts: Counter[str] = Counter()
         loop = asyncio.get_running_loop()
-        self.listener = SocketListener(loop, lambda: RelayedConnection(self).accept(), (host, 0))
-        self.listener.open()
+        self.relay_listener = SocketListener(
+            loop, lambda: RelayedConnection(self).accept_connection(), (host, 0)
+        )
+        self.relay_listener.open()
 
     def set_faults(self, order: Json) -> None:
         """Replace the faults of the directions in `sides` by the `mode` of the order; "" means none."""
@@ -228,11 +230,11 @@
     def _update_listener(self) -> None:
         if self.refusing:
             # The target has ended: the kernel refuses a dial, as it would at a dead process's address.
-            self.listener.close()
+            self.relay_listener.close()
             return
-        self.listener.open()
+        self.relay_listener.open()
         if any(direction.silent for direction in self.directions):
-            self.listener.hold()  # a TCP handshake needs both directions
+            self.relay_listener.hold()  # a TCP handshake needs both directions
 
     def summary(self) -> Json:
         """Return the counts of the link and of both directions."""
@@ -248,7 +250,7 @@
 
     async def link(order: Json) -> Json:
         new_link = links[order["id"]] = Link(order["host"], tuple(order["to"]))
-        return {"address": list(new_link.listener.address)}
+        return {"address": list(new_link.relay_listener.address)}
 
     async def retarget(order: Json) -> None:
         links[order["id"]].retarget(tuple(order["to"]))
--- a/client_proxy/fault_injection/faults.py
+++ b/client_proxy/fault_injection/faults.py
@@ -45,8 +45,8 @@
 class Fault:
     """One fault of the plan, on all processes that it names."""
 
-    def __init__(self, fleet: Fleet, number: int, spec: FaultTable) -> None:
-        self.fleet, self.number, self.spec = fleet, number, spec
+    def __init__(self, fleet: Fleet, number: int, fault_spec: FaultTable) -> None:
+        self.fleet, self.number, self.fault_spec = fleet, number, fault_spec
         self.begin_s = self.end_s = 0.0
         self.evidence: Json = {}
         self._baseline: Json = {}
@@ -57,7 +57,7 @@
 
     async def begin(self) -> None:
         """Inject the fault. Raises RigError if that is not possible."""
-        kind = self.spec.kind
+        kind = self.fault_spec.kind
         self.begin_s = time.monotonic()
         if kind in ("kill", "term", "stop"):
             await self._for_each_victim(self._send_signal)
@@ -81,7 +81,7 @@
 
     async def revert(self) -> None:
         """End the fault. Raises RigError if it left no trace."""
-        kind = self.spec.kind
+        kind = self.fault_spec.kind
         if kind in SELF_KILL_KINDS:
             await self._for_each_victim(self._expect_death)
         if kind in ("kill", "term", "lost-disk", "bad-start", *SELF_KILL_KINDS):
@@ -97,19 +97,19 @@
         self.end_s = time.monotonic()
 
     async def _for_each_victim(self, action: Callable[[str], Awaitable[None]]) -> None:
-        for name in self.spec.who:
+        for name in self.fault_spec.who:
             await action(name)
 
     def _add_evidence(self, name: str, **evidence: Any) -> None:
         self.evidence.setdefault(name, {}).update(evidence)
 
     def _not_happened(self, name: str, why: str) -> RigError:
-        return RigError(f"fault {self.number} ({self.spec.label()}) did not happen at {name}: {why}")
+        return RigError(f"fault {self.number} ({self.fault_spec.label()}) did not happen at {name}: {why}")
 
     # Processes
 
     async def _send_signal(self, name: str) -> None:
-        kind = self.spec.kind
+        kind = self.fault_spec.kind
         child = self.fleet.process_by_name(name)
         if kind != "stop":
             self.fleet.ended_by_plan.add(name)
@@ -144,11 +144,11 @@
 
     async def _start_again(self, name: str) -> None:
         fleet = self.fleet
-        if self.spec.fresh:
+        if self.fault_spec.fresh:
             fleet.delete_kept_folder(name)
-        if self.spec.future:
+        if self.fault_spec.future:
             self._add_evidence(name, kept=fleet.store_unknown_version(name))
-        if self.spec.anew:
+        if self.fault_spec.anew:
             self._add_evidence(name, memory=fleet.renew_storage_id(name))
         if name in fleet.racks:
             await fleet.start_rack(name, cold=True)
@@ -199,12 +199,12 @@
     # Links
 
     async def _break_links(self, kind: str) -> None:
-        fleet, spec = self.fleet, self.spec
+        fleet, fault_spec = self.fleet, self.fault_spec
         sides: dict[str, set[str]] = {}
-        for sender in spec.who:
-            for receiver in spec.to:
+        for sender in fault_spec.who:
+            for receiver in fault_spec.to:
                 for id_, side in fleet.link_sides(sender, receiver):
-                    sides.setdefault(id_, set()).update(("there", "back") if spec.back else (side,))
+                    sides.setdefault(id_, set()).update(("there", "back") if fault_spec.back else (side,))
         self._link_sides = {id_: sorted(names) for id_, names in sides.items()}
         for id_, link_sides in self._link_sides.items():
             self._baseline[id_] = await self._set_link_faults(id_, kind, link_sides)
@@ -214,8 +214,8 @@
 
     async def _set_link_faults(self, id_: str, mode: str, sides: list[str]) -> Json:
         """Set the faults of a link. Returns its counts so far, which the evidence is compared with."""
-        spec = self.spec
-        parameters = {"ms": spec.ms, "bytes_per_s": spec.bytes_per_s}
+        fault_spec = self.fault_spec
+        parameters = {"ms": fault_spec.ms, "bytes_per_s": fault_spec.bytes_per_s}
         return await self.fleet.fault_proxy.ask("way", id=id_, sides=sides, mode=mode, **parameters)
 
     async def _sample_dials(self) -> None:
@@ -255,36 +255,43 @@
                     raise self._not_happened(id_, f"{passed_bytes} bytes passed")
         self._add_evidence("wires", bitten=affected, hanging_dials=self._hanging_dials)
         if not affected and not self._hanging_dials:
-            raise self._not_happened(",".join(self.spec.to), "there was no traffic on these links")
+            raise self._not_happened(",".join(self.fault_spec.to), "there was no traffic on these links")
 
     # Fault layers inside the process
 
     async def _arm_layer(self, name: str) -> None:
-        child, spec = self.fleet.instances[name], self.spec
-        if spec.kind in SELF_KILL_KINDS:
+        child, fault_spec = self.fleet.instances[name], self.fault_spec
+        if fault_spec.kind in SELF_KILL_KINDS:
             self.fleet.ended_by_plan.add(name)
-        if spec.kind == "clock":
-            answer = await child.order(do="clock", rate=spec.rate, step_s=spec.step_s)
-        elif spec.kind in DISK_KINDS:
-            answer = await child.order(do="disk", mode=spec.kind, ms=spec.ms, step=spec.step)
+        if fault_spec.kind == "clock":
+            answer = await child.order(do="clock", rate=fault_spec.rate, step_s=fault_spec.step_s)
+        elif fault_spec.kind in DISK_KINDS:
+            answer = await child.order(
+                do="disk", mode=fault_spec.kind, ms=fault_spec.ms, step=fault_spec.step
+            )
         else:
-            addresses = [self.fleet.host(1 + int(receiver[1:])) for receiver in spec.to]
-            parameters = {"kind": spec.kind, "ms": spec.ms, "share": spec.share, "step": spec.step}
+            addresses = [self.fleet.host(1 + int(receiver[1:])) for receiver in fault_spec.to]
+            parameters = {
+                "kind": fault_spec.kind,
+                "ms": fault_spec.ms,
+                "share": fault_spec.share,
+                "step": fault_spec.step,
+            }
             answer = await child.order(do="datagrams", to=addresses, **parameters)
         self._baseline[name] = answer
 
     async def _disarm_layer(self, name: str) -> None:
-        child, spec, previous = self.fleet.instances[name], self.spec, self._baseline[name]
-        if spec.kind == "clock":
+        child, fault_spec, previous = self.fleet.instances[name], self.fault_spec, self._baseline[name]
+        if fault_spec.kind == "clock":
             answer = await child.order(do="clock", rate=1.0, step_s=0.0)
             await self._verify_clock(name, previous, answer)
             return
-        if spec.kind in DISK_KINDS:
+        if fault_spec.kind in DISK_KINDS:
             answer = await child.order(do="disk", mode="")
         else:
-            addresses = [self.fleet.host(1 + int(receiver[1:])) for receiver in spec.to]
+            addresses = [self.fleet.host(1 + int(receiver[1:])) for receiver in fault_spec.to]
             answer = await child.order(do="datagrams", to=addresses)
-        count = answer["counts"].get(spec.kind, 0) - previous["counts"].get(spec.kind, 0)
+        count = answer["counts"].get(fault_spec.kind, 0) - previous["counts"].get(fault_spec.kind, 0)
         self._add_evidence(name, count=count)
         if not count:
             raise self._not_happened(name, "the layer counted no affected operation")
@@ -294,41 +301,41 @@
         span_s = answer["true_s"] - previous["true_s"]
         rate = (answer["told_s"] - previous["told_s"]) / max(1e-9, span_s)
         self._add_evidence(name, rate=round(rate, 4), off_s=round(previous["unix_s"] - time.time(), 3))
-        if abs(rate - self.spec.rate) > CLOCK_ERROR:
+        if abs(rate - self.fault_spec.rate) > CLOCK_ERROR:
             raise self._not_happened(
-                name, f"its clock ran at a rate of {rate:.3f}, {self.spec.rate:g} stated"
+                name, f"its clock ran at a rate of {rate:.3f}, {self.fault_spec.rate:g} stated"
             )
 
     # Lists
 
     async def _replace_list(self, name: str) -> None:
         """Replace an instance's list as operators' scripts do: only if it is up, without a retry."""
-        fleet, spec = self.fleet, self.spec
-        if name == spec.who[0]:
+        fleet, fault_spec = self.fleet, self.fault_spec
+        if name == fault_spec.who[0]:
             fleet.version += 1
         reached = fleet.instances[name].up
         previous = fleet.dropped[name]
-        fleet.dropped[name] = previous | set(spec.drop)
+        fleet.dropped[name] = previous | set(fault_spec.drop)
         if reached:
-            fleet.write_list(name, spoilt=spec.kind == "spoilt-list")
+            fleet.write_list(name, spoilt=fault_spec.kind == "spoilt-list")
         else:
             # Its copy stays as it is until the next change.
             pass
         fleet.history.write(
-            "list", time.monotonic(), instance=name, reached=reached, drop=list(spec.drop),
-            spoilt=spec.kind == "spoilt-list", version=fleet.version,
+            "list", time.monotonic(), instance=name, reached=reached, drop=list(fault_spec.drop),
+            spoilt=fault_spec.kind == "spoilt-list", version=fleet.version,
         )  # fmt: skip
         self._add_evidence(name, reached=reached)
 
     async def _propose_changes(self, name: str) -> None:
-        self._add_evidence(name, **await make_changes(self.fleet, self.number, self.spec, name))
+        self._add_evidence(name, **await make_changes(self.fleet, self.number, self.fault_spec, name))
 
     async def _rotate_keys(self, name: str) -> None:
         """Replace an instance's key file, and send SIGHUP if it is up.
 
         A stopped instance handles the signal when it continues.
         """
-        child, groups = self.fleet.instances[name], self.spec.groups
+        child, groups = self.fleet.instances[name], self.fault_spec.groups
         log_size = child.log.stat().st_size
         self.fleet.write_keys(name, groups)
         if not child.up:
--- a/client_proxy/fault_injection/scenario_runner.py
+++ b/client_proxy/fault_injection/scenario_runner.py
@@ -99,7 +99,7 @@
         watch_task = asyncio.create_task(self._watch_for_crashes())
         self._start_s = time.monotonic()
         fleet.history.write("begin", self._start_s)
-        faults = [Fault(fleet, number, spec) for number, spec in enumerate(self.plan.fault)]
+        faults = [Fault(fleet, number, fault_spec) for number, fault_spec in enumerate(self.plan.fault)]
         tasks = [asyncio.create_task(self._inject(fault)) for fault in faults]
         try:
             await asyncio.gather(*tasks)
@@ -154,29 +154,30 @@
 
     async def _inject(self, fault: Fault) -> None:
         """Begin and end one fault at its times, and record it."""
-        spec = fault.spec
-        if spec.when is not None:
-            await self._wait_for_log_line(spec.when.of, spec.when.log, spec.when.within_s)
-            await asyncio.sleep(spec.at_s)
+        fault_spec = fault.fault_spec
+        if fault_spec.when is not None:
+            await self._wait_for_log_line(fault_spec.when.of, fault_spec.when.log, fault_spec.when.within_s)
+            await asyncio.sleep(fault_spec.at_s)
         else:
-            await self._sleep_until(spec.at_s)
-        self._print_progress(f"{time.monotonic() - self._start_s:6.2f} s  {spec.label()}")
+            await self._sleep_until(fault_spec.at_s)
+        self._print_progress(f"{time.monotonic() - self._start_s:6.2f} s  {fault_spec.label()}")
         await fault.begin()
-        if spec.for_s:
-            await asyncio.sleep(spec.for_s)
+        if fault_spec.for_s:
+            await asyncio.sleep(fault_spec.for_s)
             await fault.revert()
-            self._print_progress(f"{time.monotonic() - self._start_s:6.2f} s  ended: {spec.label()}")
-        elif spec.kind in INSTANT_KINDS:
+            self._print_progress(f"{time.monotonic() - self._start_s:6.2f} s  ended: {fault_spec.label()}")
+        elif fault_spec.kind in INSTANT_KINDS:
             fault.end_s = time.monotonic()
         else:
             # The fault lasts to the plan's end, and its evidence is collected then.
             await self._sleep_until(self.plan.length_s)
-            if spec.kind not in ("kill", "term", "stop", "bad-start", "lost-disk"):
+            if fault_spec.kind not in ("kill", "term", "stop", "bad-start", "lost-disk"):
                 await fault.revert()
             fault.end_s = time.monotonic()
         self.fleet.history.write(
-            "fault", fault.begin_s, n=fault.number, what=spec.kind, who=list(spec.who),
-            to=list(spec.to), begin=round(fault.begin_s, 6), end=round(fault.end_s, 6), seen=fault.evidence,
+            "fault", fault.begin_s, n=fault.number, what=fault_spec.kind, who=list(fault_spec.who),
+            to=list(fault_spec.to), begin=round(fault.begin_s, 6), end=round(fault.end_s, 6),
+            seen=fault.evidence,
         )  # fmt: skip
 
     async def _wait_for_log_line(self, process: str, text: str, within_s: float) -> None:
--- a/tests/fault_injection/test_wires.py
+++ b/tests/fault_injection/test_wires.py
@@ -30,14 +30,14 @@
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.received = bytearray()
+        self.received_bytes = bytearray()
 
     def set_faults(self, mode: str, *sides: str, **more: Any) -> None:
         order = {"mode": mode, "sides": sides or ("there", "back"), "ms": 0.0, "bytes_per_s": 1000.0}
         self.link.set_faults(order | more)
 
     async def dial(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        return await asyncio.open_connection(*self.link.listener.address)
+        return await asyncio.open_connection(*self.link.relay_listener.address)
 
 
 def run_with_link(test: Callable[[LinkedEcho], Awaitable[None]]) -> None:
@@ -47,7 +47,7 @@
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while data := await read(reader):
                 assert echo_link is not None
-                echo_link.received += data
+                echo_link.received_bytes += data
                 writer.write(b"<" + data)
                 await writer.drain()
             writer.close()
@@ -56,7 +56,7 @@
             server = await asyncio.start_server(echo, "127.0.0.1", 0)
             echo_link = LinkedEcho(Link("127.0.0.1", server.sockets[0].getsockname()))
             await test(echo_link)
-            echo_link.link.listener.close()
+            echo_link.link.relay_listener.close()
             server.close()
 
     asyncio.run(run())
@@ -82,14 +82,14 @@
         assert await reader.readexactly(2) == b"<1"
         echo_link.set_faults("silent", "back")
         writer.write(b"2")
-        await wait_until(lambda: echo_link.received == b"12")
+        await wait_until(lambda: echo_link.received_bytes == b"12")
         await wait_until(lambda: echo_link.link.summary()["back"]["held"] > 0)
         echo_link.set_faults("")
         assert await reader.readexactly(2) == b"<2"
         echo_link.set_faults("silent", "there")
         writer.write(b"3")
         await wait_until(lambda: echo_link.link.summary()["there"].get("held", 0) > 0)
-        assert echo_link.received == b"12"
+        assert echo_link.received_bytes == b"12"
         echo_link.set_faults("")
         assert await reader.readexactly(2) == b"<3"
         writer.close()
@@ -125,7 +125,7 @@
             other.write(b"2")
             await again.readexactly(1)
         assert echo_link.link.summary()["counts"]["reset"] >= 2
-        assert echo_link.received == b"1"
+        assert echo_link.received_bytes == b"1"
         echo_link.set_faults("closed")
         with pytest.raises(ConnectionRefusedError):
             await echo_link.dial()
@@ -145,9 +145,9 @@
         echo_link.set_faults("trickle", "there", bytes_per_s=20_000.0)
         begin_s = loop.time()
         writer.write(bytes(range(256)) * 8)
-        await wait_until(lambda: len(echo_link.received) == 4 + 2048)
+        await wait_until(lambda: len(echo_link.received_bytes) == 4 + 2048)
         assert loop.time() - begin_s >= 1536 / 20_000  # the last chunk waits for the chunks before it
-        assert echo_link.received[4:] == bytes(range(256)) * 8
+        assert echo_link.received_bytes[4:] == bytes(range(256)) * 8
         there = echo_link.link.summary()["there"]
         assert there["delayed"] == 4
         assert there["trickled"] == 2048
@@ -160,7 +160,7 @@
     async def test(echo_link: LinkedEcho) -> None:
         reader, writer = await echo_link.dial()
         writer.write(b"1")
-        await wait_until(lambda: echo_link.received == b"1")
+        await wait_until(lambda: echo_link.received_bytes == b"1")
         echo_link.set_faults("silent", "there")
         sent = 16 * 1024 * 1024
         writer.write(b"x" * sent)
@@ -169,7 +169,7 @@
         assert relayed.forward_stream._buffered_bytes < 2 * 1024 * 1024
         echo_link.set_faults("")
         assert await reader.readexactly(2) == b"<1"
-        while len(echo_link.received) < 1 + sent:  # the echo server blocks until its answers are read
+        while len(echo_link.received_bytes) < 1 + sent:  # the echo server blocks until its answers are read
             assert await reader.read(1024 * 1024)
         writer.close()
 
--- a/tests/scale/test_faults.py
+++ b/tests/scale/test_faults.py
@@ -89,7 +89,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def stop(fleet: Fleet) -> None:
-        monkeypatch.setattr(child_process, "ANSWER_S", 2.0)
+        monkeypatch.setattr(child_process, "ANSWER_TIMEOUT_S", 2.0)
         os.kill(fleet.hollow["control-1"].pid, signal.SIGSTOP)
 
     report, fleet = run_plan(small_plan(LONG_DAY), tmp_path, monkeypatch, on_day=stop)
