--- a/client_proxy/balancer/sender.py
+++ b/client_proxy/balancer/sender.py
@@ -120,7 +120,7 @@
             late_after_ms = state.class_latencies[request.request_class.name].late_after_ms()
             self._timers.start_for(request, late_after_ms, self._record_late)
         request.attempts_in_flight += 1
-        self._count_in_flight(endpoint)
+        self._record_attempt_sent(endpoint)
         timeout_ms = request.useful_until_ms() - now_ms
         state.actions.append(Send(request.id, endpoint.listed.name, timeout_ms, write_by_ms))
 
@@ -133,7 +133,7 @@
             return None
         return idle_ms
 
-    def _count_in_flight(self, endpoint: Endpoint) -> None:
+    def _record_attempt_sent(self, endpoint: Endpoint) -> None:
         if not endpoint.in_flight:
             endpoint.awaiting_since_ms = self._state.now_ms
         endpoint.in_flight += 1
--- a/client_proxy/emulator/scenario_reader.py
+++ b/client_proxy/emulator/scenario_reader.py
@@ -84,7 +84,7 @@
 
 
 def _read_without_faults(top: Table) -> Scenario:
-    duration_s = top.number_("length_s", least=0.1, most=MAX_DURATION_S)
+    duration_s = top.bounded_number("length_s", least=0.1, most=MAX_DURATION_S)
     zones = top.texts("halls", ("hall",))
     if not zones or len(set(zones)) != len(zones):
         top.fault("halls", "at least one, each once")
@@ -99,13 +99,13 @@
         discovery=_read_discovery(discovery),
         name=top.text("name"),
         duration_s=duration_s,
-        seed=top.whole("seed", 1),
+        seed=top.integer("seed", 1),
         zones=zones,
         classes=classes,
         server_types=server_types,
         server_groups=groups,
         description=top.text("about", ""),
-        window_s=top.number_("window_s", 5.0, 0.1),
+        window_s=top.bounded_number("window_s", 5.0, 0.1),
         clients=_read_clients(top.table("clients")),
         rules=_read_rules(top.table("rules")),
         exploration=_read_exploration(top.table("explore")),
@@ -142,16 +142,16 @@
 def _read_class(table: Table) -> RequestClassSpec:
     request_class = RequestClassSpec(
         name=table.text("name"),
-        share=table.number_("share", 1.0),
-        work_ms=table.number_("work_ms", least=0.001),
-        latency_objective_ms=table.number_("aim_ms", least=1),
-        deadline_ms=table.number_("deadline_ms", least=1, most=600_000),
+        share=table.bounded_number("share", 1.0),
+        work_ms=table.bounded_number("work_ms", least=0.001),
+        latency_objective_ms=table.bounded_number("aim_ms", least=1),
+        deadline_ms=table.bounded_number("deadline_ms", least=1, most=600_000),
         effect=table.text("effect", "unsafe", tuple(EFFECTS)),
-        work_variation=table.number_("cv", 0.0, most=10),
-        attempt_noise=table.number_("attempt_noise", 0.0, most=10),
-        priority_weight=table.number_("worth", 1.0),
+        work_variation=table.bounded_number("cv", 0.0, most=10),
+        attempt_noise=table.bounded_number("attempt_noise", 0.0, most=10),
+        priority_weight=table.bounded_number("worth", 1.0),
         idempotency_scope=table.text("group", "all", tuple(scope.value for scope in IdempotencyScope)),
-        idempotency_window_ms=table.number_("window_ms", 0.0),
+        idempotency_window_ms=table.bounded_number("window_ms", 0.0),
     )
     if request_class.latency_objective_ms > request_class.deadline_ms:
         objective_ms, deadline_ms = request_class.latency_objective_ms, request_class.deadline_ms
@@ -164,26 +164,26 @@
     default = ServerType("")
     server_type = ServerType(
         name=table.text("name"),
-        cores=table.whole("cores", default.cores, 1, 1024),
-        speed=table.number_("speed", default.speed, 0.001, 1000),
-        slots_per_core=table.number_("slots_per_core", default.slots_per_core, 0.01, 1000),
-        queue_per_core=table.number_("queue_per_core", default.queue_per_core, 0, 100_000),
-        max_connections=table.whole("connections", default.max_connections, 1, 100_000),
-        handshake_ms=table.number_("handshake_ms", default.handshake_ms),
-        idle_timeout_s=table.number_("idle_s", default.idle_timeout_s, 0.01),
-        cold_capacity=table.number_("cold_from", default.cold_capacity, 0.01, 1),
-        warm_up_s=table.number_("cold_s", default.warm_up_s),
-        warm_up_requests=table.whole("cold_requests", default.warm_up_requests),
-        congestion_threshold=table.number_("choke_at", default.congestion_threshold),
-        congestion_window_s=table.number_("choke_over_s", default.congestion_window_s, 0.01),
-        congestion_slowdown=table.number_("choke_slower", default.congestion_slowdown, 1),
-        congestion_exit_use=table.number_("choke_below", default.congestion_exit_use, 0, 1),
-        congestion_exit_s=table.number_("choke_rest_s", default.congestion_exit_s),
-        congestion_max_s=table.number_("choke_most_s", default.congestion_max_s),
+        cores=table.integer("cores", default.cores, 1, 1024),
+        speed=table.bounded_number("speed", default.speed, 0.001, 1000),
+        slots_per_core=table.bounded_number("slots_per_core", default.slots_per_core, 0.01, 1000),
+        queue_per_core=table.bounded_number("queue_per_core", default.queue_per_core, 0, 100_000),
+        max_connections=table.integer("connections", default.max_connections, 1, 100_000),
+        handshake_ms=table.bounded_number("handshake_ms", default.handshake_ms),
+        idle_timeout_s=table.bounded_number("idle_s", default.idle_timeout_s, 0.01),
+        cold_capacity=table.bounded_number("cold_from", default.cold_capacity, 0.01, 1),
+        warm_up_s=table.bounded_number("cold_s", default.warm_up_s),
+        warm_up_requests=table.integer("cold_requests", default.warm_up_requests),
+        congestion_threshold=table.bounded_number("choke_at", default.congestion_threshold),
+        congestion_window_s=table.bounded_number("choke_over_s", default.congestion_window_s, 0.01),
+        congestion_slowdown=table.bounded_number("choke_slower", default.congestion_slowdown, 1),
+        congestion_exit_use=table.bounded_number("choke_below", default.congestion_exit_use, 0, 1),
+        congestion_exit_s=table.bounded_number("choke_rest_s", default.congestion_exit_s),
+        congestion_max_s=table.bounded_number("choke_most_s", default.congestion_max_s),
         cancellation=table.text("cancel", default.cancellation, ("none", "queued")),
         drops_expired=table.flag("drops_expired", default.drops_expired),
-        pause_interval_s=table.number_("pause_every_s", default.pause_interval_s),
-        pause_ms=table.number_("pause_ms", default.pause_ms),
+        pause_interval_s=table.bounded_number("pause_every_s", default.pause_interval_s),
+        pause_ms=table.bounded_number("pause_ms", default.pause_ms),
     )
     table.reject_unknown_keys()
     return server_type
@@ -193,9 +193,9 @@
     group = ServerGroup(
         server_type=table.text("kind"),
         zone=table.text("hall"),
-        count=table.whole("count", 1, 1, 1000),
-        rack=table.whole("rack", 0),
-        start_s=table.number_("from_s", 0.0),
+        count=table.integer("count", 1, 1, 1000),
+        rack=table.integer("rack", 0),
+        start_s=table.bounded_number("from_s", 0.0),
     )
     if group.zone not in zones:
         table.fault("hall", f"{group.zone!r} is not one of the halls")
@@ -210,21 +210,21 @@
     kind = table.text("what", among=SERVER_FAULTS + OTHER_FAULTS)
     modes = FAIL_MODES if kind == "fail" else DISCOVERY_MODES if kind == "discovery" else ("",)
     fault = Fault(
-        at_s=table.number_("at_s", most=max(known.duration_s, 0.0)),
+        at_s=table.bounded_number("at_s", most=max(known.duration_s, 0.0)),
         kind=kind,
-        duration_s=table.number_("for_s", default.duration_s),
+        duration_s=table.bounded_number("for_s", default.duration_s),
         servers=table.texts("servers", ()),
         zone=table.text("hall", ""),
-        server_share=table.number_("part", default.server_share, 0, 1),
-        stagger_s=table.number_("stagger_s", default.stagger_s),
-        share=table.number_("share", default.share, 0, 1),
+        server_share=table.bounded_number("part", default.server_share, 0, 1),
+        stagger_s=table.bounded_number("stagger_s", default.stagger_s),
+        share=table.bounded_number("share", default.share, 0, 1),
         mode=table.text("mode", modes[0], modes),
         classes=table.texts("classes", ()),
-        factor=table.number_("times", default.factor, 0, 1000),
-        pause_interval_ms=table.number_("every_ms", default.pause_interval_ms, 1),
-        pause_ms=table.number_("pause_ms", default.pause_ms, 0),
-        delay_ms=table.number_("after_ms", default.delay_ms),
-        downtime_s=table.number_("down_s", default.downtime_s),
+        factor=table.bounded_number("times", default.factor, 0, 1000),
+        pause_interval_ms=table.bounded_number("every_ms", default.pause_interval_ms, 1),
+        pause_ms=table.bounded_number("pause_ms", default.pause_ms, 0),
+        delay_ms=table.bounded_number("after_ms", default.delay_ms),
+        downtime_s=table.bounded_number("down_s", default.downtime_s),
         proxies=tuple(int(proxy) for proxy in table.numbers("proxies", ())),
     )
     _check_fault_names(table, fault, known)
@@ -256,17 +256,17 @@
 def _read_clients(table: Table) -> ClientSettings:
     default = ClientSettings()
     clients = ClientSettings(
-        proxies=table.whole("proxies", default.proxies, 1, 500),
-        rate_per_s=table.number_("rate_per_s", default.rate_per_s, 0, 100_000),
+        proxies=table.integer("proxies", default.proxies, 1, 500),
+        rate_per_s=table.bounded_number("rate_per_s", default.rate_per_s, 0, 100_000),
         relative_rates=table.numbers("rates", ()),
         rate_curve=table.points("shape", ()),
-        max_retries=table.whole("retries", default.max_retries, 0, 20),
-        backoff_ms=table.number_("backoff_ms", default.backoff_ms),
-        attempt_deadline_share=table.number_("try_share", default.attempt_deadline_share, 0.01, 1),
+        max_retries=table.integer("retries", default.max_retries, 0, 20),
+        backoff_ms=table.bounded_number("backoff_ms", default.backoff_ms),
+        attempt_deadline_share=table.bounded_number("try_share", default.attempt_deadline_share, 0.01, 1),
         honours_retry_after=table.flag("honour", default.honours_retry_after),
-        max_retry_after_ms=table.number_("most_honoured_ms", default.max_retry_after_ms),
-        distinct_keys=table.whole("keys", default.distinct_keys, 1),
-        max_connections=table.whole("connections", default.max_connections, 1, 10_000),
+        max_retry_after_ms=table.bounded_number("most_honoured_ms", default.max_retry_after_ms),
+        distinct_keys=table.integer("keys", default.distinct_keys, 1),
+        max_connections=table.integer("connections", default.max_connections, 1, 10_000),
     )
     _check_rates(table, clients)
     table.reject_unknown_keys()
@@ -288,16 +288,16 @@
 def _read_rules(table: Table) -> RuleSettings:
     default = RuleSettings()
     rules = RuleSettings(
-        drain_grace_ms=table.number_("drain_grace_ms", default.drain_grace_ms),
-        crash_multiple=table.number_("fall_multiple", default.crash_multiple, 0.1),
-        crash_window_ms=table.number_("fall_ms", default.crash_window_ms, 1),
-        slow_start_share=table.number_("cold_share", default.slow_start_share, 0.01, 1),
-        slow_start_ms=table.number_("cold_ms", default.slow_start_ms),
-        answer_grace_ms=table.number_("answer_grace_ms", default.answer_grace_ms),
-        max_attempts=table.whole("max_attempts", default.max_attempts, 1, 100),
+        drain_grace_ms=table.bounded_number("drain_grace_ms", default.drain_grace_ms),
+        crash_multiple=table.bounded_number("fall_multiple", default.crash_multiple, 0.1),
+        crash_window_ms=table.bounded_number("fall_ms", default.crash_window_ms, 1),
+        slow_start_share=table.bounded_number("cold_share", default.slow_start_share, 0.01, 1),
+        slow_start_ms=table.bounded_number("cold_ms", default.slow_start_ms),
+        answer_grace_ms=table.bounded_number("answer_grace_ms", default.answer_grace_ms),
+        max_attempts=table.integer("max_attempts", default.max_attempts, 1, 100),
         hedged_requests=table.flag("second_copies", default.hedged_requests),
         retry_after=table.flag("retry_after", default.retry_after),
-        max_poll_interval_ms=table.number_("must_ask_ms", default.max_poll_interval_ms, 1),
+        max_poll_interval_ms=table.bounded_number("must_ask_ms", default.max_poll_interval_ms, 1),
     )
     table.reject_unknown_keys()
     return rules
@@ -306,11 +306,11 @@
 def _read_exploration(table: Table) -> ExplorationSettings:
     default = ExplorationSettings()
     exploration = ExplorationSettings(
-        max_shift_s=table.number_("shift_s", default.max_shift_s),
+        max_shift_s=table.bounded_number("shift_s", default.max_shift_s),
         duration_factors=table.numbers("lasts", default.duration_factors, 2),
         rate_factors=table.numbers("rate", default.rate_factors, 2),
         size_factors=table.numbers("sizes", default.size_factors, 2),
-        min_served_share=table.number_("least_served", default.min_served_share, 0, 1),
+        min_served_share=table.bounded_number("least_served", default.min_served_share, 0, 1),
     )
     table.reject_unknown_keys()
     return exploration
@@ -319,10 +319,10 @@
 def _read_network(table: Table) -> NetworkSettings:
     default = NetworkSettings()
     network = NetworkSettings(
-        same_zone_ms=table.number_("same_ms", default.same_zone_ms),
-        cross_zone_ms=table.number_("cross_ms", default.cross_zone_ms),
-        handshake_round_trips=table.number_("handshake_rtts", default.handshake_round_trips),
-        connect_timeout_ms=table.number_("connect_timeout_ms", default.connect_timeout_ms, 1),
+        same_zone_ms=table.bounded_number("same_ms", default.same_zone_ms),
+        cross_zone_ms=table.bounded_number("cross_ms", default.cross_zone_ms),
+        handshake_round_trips=table.bounded_number("handshake_rtts", default.handshake_round_trips),
+        connect_timeout_ms=table.bounded_number("connect_timeout_ms", default.connect_timeout_ms, 1),
     )
     table.reject_unknown_keys()
     return network
@@ -332,9 +332,9 @@
     default = LoadReportSettings()
     reports = LoadReportSettings(
         fields=table.texts("fields", default.fields),
-        period_ms=table.number_("period_ms", default.period_ms, 1),
-        delay_ms=table.number_("delay_ms", default.delay_ms),
-        noise=table.number_("noise", default.noise, 0, 1),
+        period_ms=table.bounded_number("period_ms", default.period_ms, 1),
+        delay_ms=table.bounded_number("delay_ms", default.delay_ms),
+        noise=table.bounded_number("noise", default.noise, 0, 1),
     )
     for name in reports.fields:
         if name not in REPORT_FIELDS:
@@ -347,10 +347,10 @@
     default = DiscoverySettings()
     discovery = DiscoverySettings(
         subscribes=table.flag("asked", default.subscribes),
-        start_delay_ms=table.number_("add_ms", default.start_delay_ms),
-        removal_delay_ms=table.number_("notice_ms", default.removal_delay_ms),
-        stall_delay_ms=table.number_("silent_notice_ms", default.stall_delay_ms),
-        latency_ms=table.number_("latency_ms", default.latency_ms),
+        start_delay_ms=table.bounded_number("add_ms", default.start_delay_ms),
+        removal_delay_ms=table.bounded_number("notice_ms", default.removal_delay_ms),
+        stall_delay_ms=table.bounded_number("silent_notice_ms", default.stall_delay_ms),
+        latency_ms=table.bounded_number("latency_ms", default.latency_ms),
     )
     table.reject_unknown_keys()
     return discovery
--- a/client_proxy/limits/settings.py
+++ b/client_proxy/limits/settings.py
@@ -37,15 +37,16 @@
     settings = OverloadSettings(
         class_order=t.texts("first", defaults.class_order),
         min_shares={
-            name: least_table.number_(name, least=0.0, most=1.0) for name in least_table.remaining_keys()
+            name: least_table.bounded_number(name, least=0.0, most=1.0)
+            for name in least_table.remaining_keys()
         },
-        target_inflation=t.number_("target", defaults.target_inflation, 1.1, 20.0),
-        growth=t.number_("growth", defaults.growth, 0.01, 10.0),
-        cut=t.number_("cut", defaults.cut, 0.01, 20.0),
+        target_inflation=t.bounded_number("target", defaults.target_inflation, 1.1, 20.0),
+        growth=t.bounded_number("growth", defaults.growth, 0.01, 10.0),
+        cut=t.bounded_number("cut", defaults.cut, 0.01, 20.0),
         tracks_client_retries=t.flag("ages", defaults.tracks_client_retries),
         retry_after_ms=(
-            t.number_("come_back_least_ms", defaults.retry_after_ms[0], 0.0, 60_000.0),
-            t.number_("come_back_most_ms", defaults.retry_after_ms[1], 0.0, 60_000.0),
+            t.bounded_number("come_back_least_ms", defaults.retry_after_ms[0], 0.0, 60_000.0),
+            t.bounded_number("come_back_most_ms", defaults.retry_after_ms[1], 0.0, 60_000.0),
         ),
     )
     if len(set(settings.class_order)) != len(settings.class_order):
--- a/client_proxy/membership/__main__.py
+++ b/client_proxy/membership/__main__.py
@@ -153,7 +153,7 @@
     check_file_mode(path)
     file = File(read_text(path), str(path))
     table = file.top()
-    number, text = table.whole("number", least=0, most=MAX_U8), table.text(key)
+    number, text = table.integer("number", least=0, most=MAX_U8), table.text(key)
     file.raise_faults()
     return _NumberedSecret(number, _decode_secret(text, str(path)))
 
--- a/client_proxy/membership/keys.py
+++ b/client_proxy/membership/keys.py
@@ -150,7 +150,7 @@
 def _read_numbered_keys(tables: list[Table], key: str, size: int) -> dict[int, bytes]:
     keys: dict[int, bytes] = {}
     for table in tables:
-        number = table.whole("number", least=0, most=MAX_U8)
+        number = table.integer("number", least=0, most=MAX_U8)
         if number in keys:
             table.fault("number", f"{number} is used twice")
         keys[number] = _read_bytes(table, key, size)
@@ -172,11 +172,11 @@
     """
     file = File(text, name)
     top = file.top()
-    member = top.whole("member", least=0, most=MAX_U32)
+    member = top.integer("member", least=0, most=MAX_U32)
     # "hall" is an older word for zone; the key is unchanged so that existing files stay valid.
     zone = top.text("hall")
-    epoch = top.whole("epoch", least=0, most=MAX_EPOCH)
-    authority_number = top.whole("authority_number", least=0, most=MAX_U8)
+    epoch = top.integer("epoch", least=0, most=MAX_EPOCH)
+    authority_number = top.integer("authority_number", least=0, most=MAX_U8)
     signature = _read_bytes(top, "signature", SIGNATURE_BYTES)
     secret = _read_bytes(top, "private", SECRET_BYTES)
     group_keys = _read_numbered_keys(top.tables("group", least=1), "secret", SECRET_BYTES)
--- a/client_proxy/membership/settings.py
+++ b/client_proxy/membership/settings.py
@@ -50,12 +50,12 @@
         keys=table.text("keys"),
         listen=_parse_address(table, "listen", listen),
         seeds=tuple(_parse_address(table, "seeds", seed) for seed in table.texts("seeds", ())),
-        fanout=table.whole("fanout", defaults.fanout, 1, 8),
-        spread_ms=table.number_("spread_ms", defaults.spread_ms, 50.0, 10_000.0),
-        sends_per_s=table.number_("sends_per_s", defaults.sends_per_s, 4.0, 1000.0),
-        bytes_per_s=table.number_("bytes_per_s", defaults.bytes_per_s, 1024.0, 256_000.0),
-        takes_per_s=table.number_("takes_per_s", defaults.takes_per_s, 10.0, 5000.0),
-        source_per_s=table.number_("source_per_s", defaults.source_per_s, 5.0, 1000.0),
+        fanout=table.integer("fanout", defaults.fanout, 1, 8),
+        spread_ms=table.bounded_number("spread_ms", defaults.spread_ms, 50.0, 10_000.0),
+        sends_per_s=table.bounded_number("sends_per_s", defaults.sends_per_s, 4.0, 1000.0),
+        bytes_per_s=table.bounded_number("bytes_per_s", defaults.bytes_per_s, 1024.0, 256_000.0),
+        takes_per_s=table.bounded_number("takes_per_s", defaults.takes_per_s, 10.0, 5000.0),
+        source_per_s=table.bounded_number("source_per_s", defaults.source_per_s, 5.0, 1000.0),
         swim=_parse_swim_settings(table),
     )
     if settings.swim.timeout_ms >= settings.swim.period_ms:
@@ -67,13 +67,13 @@
 def _parse_swim_settings(table: Table) -> SwimSettings:
     defaults = SwimSettings()
     return SwimSettings(
-        period_ms=table.number_("period_ms", defaults.period_ms, 100.0, 60_000.0),
-        timeout_ms=table.number_("timeout_ms", defaults.timeout_ms, 10.0, 10_000.0),
-        helpers=table.whole("helpers", defaults.helpers, 1, 8),
-        suspicion=table.number_("suspicion", defaults.suspicion, 1.0, 20.0),
-        most_members=table.whole("most_members", defaults.most_members, 8, 2048),
-        sync_ms=table.number_("sync_ms", defaults.sync_ms, 500.0, 600_000.0),
-        verify_per_s=table.number_("verify_per_s", defaults.verify_per_s, 5.0, 1000.0),
+        period_ms=table.bounded_number("period_ms", defaults.period_ms, 100.0, 60_000.0),
+        timeout_ms=table.bounded_number("timeout_ms", defaults.timeout_ms, 10.0, 10_000.0),
+        helpers=table.integer("helpers", defaults.helpers, 1, 8),
+        suspicion=table.bounded_number("suspicion", defaults.suspicion, 1.0, 20.0),
+        most_members=table.integer("most_members", defaults.most_members, 8, 2048),
+        sync_ms=table.bounded_number("sync_ms", defaults.sync_ms, 500.0, 600_000.0),
+        verify_per_s=table.bounded_number("verify_per_s", defaults.verify_per_s, 5.0, 1000.0),
     )
 
 
--- a/client_proxy/outlier/settings.py
+++ b/client_proxy/outlier/settings.py
@@ -21,9 +21,11 @@
     """Return the settings in the table; faults are noted there, with their keys."""
     defaults = OutlierSettings()
     settings = OutlierSettings(
-        probe_interval_s=table.number_("trial_s", defaults.probe_interval_s, 0.05, 60.0),
-        max_probe_interval_s=table.number_("longest_trial_s", defaults.max_probe_interval_s, 0.05, 600.0),
-        max_ejected_share=table.number_("most_barred", defaults.max_ejected_share, 0.0, 1.0),
+        probe_interval_s=table.bounded_number("trial_s", defaults.probe_interval_s, 0.05, 60.0),
+        max_probe_interval_s=table.bounded_number(
+            "longest_trial_s", defaults.max_probe_interval_s, 0.05, 600.0
+        ),
+        max_ejected_share=table.bounded_number("most_barred", defaults.max_ejected_share, 0.0, 1.0),
     )
     if settings.max_probe_interval_s < settings.probe_interval_s:
         table.fault("longest_trial_s", "it is less than trial_s")
--- a/client_proxy/routing/idle_timeout.py
+++ b/client_proxy/routing/idle_timeout.py
@@ -41,10 +41,12 @@
     """Return the settings in the table; faults are noted there, with their keys."""
     default = ConnectionSettings()
     settings = ConnectionSettings(
-        idle_timeout_s=table.number_("rest_s", default.idle_timeout_s, 0.0, 86_400.0),
-        max_connections=table.whole("most", least=1, most=100_000) if table.has("most") else None,
+        idle_timeout_s=table.bounded_number("rest_s", default.idle_timeout_s, 0.0, 86_400.0),
+        max_connections=table.integer("most", least=1, most=100_000) if table.has("most") else None,
         max_dials_per_s=(
-            table.number_("opens_per_s", least=0.1, most=100_000.0) if table.has("opens_per_s") else None
+            table.bounded_number("opens_per_s", least=0.1, most=100_000.0)
+            if table.has("opens_per_s")
+            else None
         ),
     )
     table.reject_unknown_keys()
--- a/client_proxy/routing/settings.py
+++ b/client_proxy/routing/settings.py
@@ -52,23 +52,24 @@
     near_table, spill_table = table.table("near"), table.table("spill")
     settings = LocalitySettings(
         priority_levels=_read_levels(near_table),
-        overprovisioning=table.number_("overprovisioning", default.overprovisioning, 1.0, 10.0),
-        spillover_share=table.number_("spill_share", default.spillover_share, 0.0, 1.0),
+        overprovisioning=table.bounded_number("overprovisioning", default.overprovisioning, 1.0, 10.0),
+        spillover_share=table.bounded_number("spill_share", default.spillover_share, 0.0, 1.0),
         spillover_shares={
-            zone: spill_table.number_(zone, least=0.0, most=1.0) for zone in spill_table.remaining_keys()
+            zone: spill_table.bounded_number(zone, least=0.0, most=1.0)
+            for zone in spill_table.remaining_keys()
         },
-        reserved_share=table.number_("reserved", default.reserved_share, 0.0, 0.9),
-        panic_threshold=table.number_("panic", default.panic_threshold, 0.0, 1.0),
-        ramp_start_share=table.number_("start_share", default.ramp_start_share, 0.01, 1.0),
-        ramp_s=table.number_("return_s", default.ramp_s, 0.1, 3600.0),
-        ramp_cut=table.number_("back_off", default.ramp_cut, 0.05, 0.95),
-        ramp_max_slowness=table.number_("slow", default.ramp_max_slowness, 1.1, 100.0),
-        unavailable_after=table.whole("dark_after", default.unavailable_after, 1, 1000),
-        probe_interval_ms=table.number_("scout_ms", default.probe_interval_ms, 10.0, 60_000.0),
-        degraded_loss_share=table.number_("grey", default.degraded_loss_share, 0.01, 1.0),
-        balance_margin=table.number_("margin", default.balance_margin, 0.0, 100.0),
-        congested_inflation=table.number_("full", default.congested_inflation, 1.0, 100.0),
-        memory_s=table.number_("memory_s", default.memory_s, 1.0, 86_400.0),
+        reserved_share=table.bounded_number("reserved", default.reserved_share, 0.0, 0.9),
+        panic_threshold=table.bounded_number("panic", default.panic_threshold, 0.0, 1.0),
+        ramp_start_share=table.bounded_number("start_share", default.ramp_start_share, 0.01, 1.0),
+        ramp_s=table.bounded_number("return_s", default.ramp_s, 0.1, 3600.0),
+        ramp_cut=table.bounded_number("back_off", default.ramp_cut, 0.05, 0.95),
+        ramp_max_slowness=table.bounded_number("slow", default.ramp_max_slowness, 1.1, 100.0),
+        unavailable_after=table.integer("dark_after", default.unavailable_after, 1, 1000),
+        probe_interval_ms=table.bounded_number("scout_ms", default.probe_interval_ms, 10.0, 60_000.0),
+        degraded_loss_share=table.bounded_number("grey", default.degraded_loss_share, 0.01, 1.0),
+        balance_margin=table.bounded_number("margin", default.balance_margin, 0.0, 100.0),
+        congested_inflation=table.bounded_number("full", default.congested_inflation, 1.0, 100.0),
+        memory_s=table.bounded_number("memory_s", default.memory_s, 1.0, 86_400.0),
     )
     near_table.reject_unknown_keys()
     spill_table.reject_unknown_keys()
--- a/client_proxy/toml_table.py
+++ b/client_proxy/toml_table.py
@@ -113,7 +113,9 @@
             return None if default is ... else default
         return value
 
-    def number_(self, key: str, default: Any = ..., least: float = 0.0, most: float = float("inf")) -> float:
+    def bounded_number(
+        self, key: str, default: Any = ..., least: float = 0.0, most: float = float("inf")
+    ) -> float:
         """Takes a number from `least` to `most`."""
 
         def is_valid(value: Any) -> bool:
@@ -124,7 +126,7 @@
         value = self._take(key, default, expected_range, is_valid)
         return float(value) if value is not None else least
 
-    def whole(self, key: str, default: Any = ..., least: int = 0, most: int = 2**53) -> int:
+    def integer(self, key: str, default: Any = ..., least: int = 0, most: int = 2**53) -> int:
         """Takes an integer from `least` to `most`."""
 
         def is_valid(value: Any) -> bool:
--- a/tests/balancer/test_key_order_and_attempt_limit.py
+++ b/tests/balancer/test_key_order_and_attempt_limit.py
@@ -25,7 +25,7 @@
 
 def send_request(driver: Driver, key: str | None = "k", class_name: str = "ordered") -> int:
     driver.last_id += 1
-    driver.tell(RequestArrived(driver.last_id, class_name, key=key))
+    driver.handle_events(RequestArrived(driver.last_id, class_name, key=key))
     return driver.last_id
 
 
@@ -90,17 +90,17 @@
 def test_next_request_waits_until_all_attempts_of_a_disconnected_one_have_ended() -> None:
     driver = Driver(ORDERED_SETTINGS)
     first, second = send_request(driver), send_request(driver)
-    driver.tell(ClientDisconnected(first))
+    driver.handle_events(ClientDisconnected(first))
     driver.wait(100)
     assert second not in driver.sent
-    driver.tell(AttemptEnded(first, 0, Outcome.OK, 100, True))
+    driver.handle_events(AttemptEnded(first, 0, Outcome.OK, 100, True))
     assert second in driver.sent
 
 
 def test_request_that_ends_before_its_turn_leaves_the_queue() -> None:
     driver = Driver(ORDERED_SETTINGS)
     first, second, third = send_request(driver), send_request(driver), send_request(driver)
-    driver.tell(ClientDisconnected(second))
+    driver.handle_events(ClientDisconnected(second))
     driver.end(first, Outcome.OK)
     assert list(driver.sent) == [first, third]
     waiting = send_request(driver)
@@ -111,7 +111,7 @@
     driver = Driver(ORDERED_SETTINGS)
     waiting = [send_request(driver) for _ in range(3000)]
     driver.now_ms += 2000  # the process was stalled, so no timer fired
-    actions = driver.tell(AttemptEnded(waiting[0], 0, Outcome.OK, 2000, True))
+    actions = driver.handle_events(AttemptEnded(waiting[0], 0, Outcome.OK, 2000, True))
     assert actions == [Reject(i) for i in waiting[1:]]
 
 
@@ -119,7 +119,7 @@
     driver = Driver(ORDERED_SETTINGS)
     for i in range(50):
         request = send_request(driver, f"k{i}")
-        driver.tell(ClientDisconnected(request))
+        driver.handle_events(ClientDisconnected(request))
         if request in driver.sent:
             driver.end(request, Outcome.RESET if i % 2 else Outcome.OK)
     assert driver.balancer.key_order._queues  # keys in their quiet time are kept
@@ -189,7 +189,7 @@
     request, _ = driver.request()
     driver.end(request, Outcome.ERROR)
     assert driver.balancer.retry_budget.tokens == 90
-    driver.tell(ClientDisconnected(request))
+    driver.handle_events(ClientDisconnected(request))
     assert driver.balancer.retry_budget.tokens == 100
 
 
--- a/tests/balancer/test_load_probe.py
+++ b/tests/balancer/test_load_probe.py
@@ -21,7 +21,7 @@
 def probing_driver(settings: Settings = PROBE_SETTINGS) -> Driver:
     driver = Driver(settings, FLEET)
     for _ in range(20):  # lets the balancer learn the round-trip time
-        driver.tell(ProbeEnded("s0", Outcome.OK, 1.0, (0.0, 0.0)))
+        driver.handle_events(ProbeEnded("s0", Outcome.OK, 1.0, (0.0, 0.0)))
     return driver
 
 
@@ -30,7 +30,9 @@
 
 
 def report_load(driver: Driver, name: str, in_flight: float | None) -> list[Action]:
-    return driver.tell(ProbeEnded(name, Outcome.OK, 1.0, None if in_flight is None else (0.0, in_flight)))
+    return driver.handle_events(
+        ProbeEnded(name, Outcome.OK, 1.0, None if in_flight is None else (0.0, in_flight))
+    )
 
 
 def test_idle_server_of_the_two_drawn_gets_the_request_at_once() -> None:
@@ -83,7 +85,7 @@
     request, actions = driver.request()
     one, two = probed_servers(actions)
     report_load(driver, one, 1.0)
-    driver.tell(delta(endpoint(one, state=state)))
+    driver.handle_events(delta(endpoint(one, state=state)))
     driver.wait(50)
     assert driver.sent[request] == [two]
 
@@ -91,7 +93,7 @@
 def test_client_that_disconnects_during_probes_gets_nothing_more() -> None:
     driver = probing_driver()
     request, actions = driver.request()
-    driver.tell(ClientDisconnected(request))
+    driver.handle_events(ClientDisconnected(request))
     for name in probed_servers(actions):
         assert report_load(driver, name, 0) == []
     assert driver.wait(100) == []
@@ -118,7 +120,7 @@
         assert not probed_servers(Driver(settings, FLEET).request()[1])
     slow = probing_driver()
     for _ in range(20):
-        slow.tell(ProbeEnded("s0", Outcome.OK, 90.0, (0.0, 0.0)))
+        slow.handle_events(ProbeEnded("s0", Outcome.OK, 90.0, (0.0, 0.0)))
     assert not probed_servers(slow.request()[1])
 
 
@@ -127,5 +129,5 @@
     request, actions = driver.request("unsafe")
     report_load(driver, probed_servers(actions)[0], 0)
     sent = driver.sent[request]
-    assert driver.tell(AttemptEnded(request, 0, Outcome.TIMEOUT, 500)) == [Fail(request)]
+    assert driver.handle_events(AttemptEnded(request, 0, Outcome.TIMEOUT, 500)) == [Fail(request)]
     assert len(sent) == 1
--- a/tests/balancer/test_mechanism.py
+++ b/tests/balancer/test_mechanism.py
@@ -128,7 +128,7 @@
     for _ in range(2):
         request, _ = driver.request()
         driver.end(request, Outcome.ERROR)
-    driver.tell(delta(endpoint("s3")))
+    driver.handle_events(delta(endpoint("s3")))
     endpoint_set = driver.balancer.endpoint_set
     assert endpoint_set.endpoints["s3"].class_statistics["safe"].earned_weight == pytest.approx(
         endpoint_set.earned_weight["safe"]
@@ -143,7 +143,7 @@
     assert driver.wait(2000) == [Reject(lost)]
     saved, _ = driver.request()
     driver.wait(20)
-    assert driver.tell(full(endpoint("s1"))) == [Send(saved, "s1", 480.0)]
+    assert driver.handle_events(full(endpoint("s1"))) == [Send(saved, "s1", 480.0)]
 
 
 def test_draining_servers_are_not_used() -> None:
@@ -181,16 +181,19 @@
     driver = Driver()
     request, _ = driver.request()
     driver.end(request, Outcome.OK)
-    assert driver.tell(AttemptEnded(request, 0, Outcome.ERROR, 5)) == []
-    assert driver.tell(AttemptEnded(999, 0, Outcome.OK, 5), ClientDisconnected(999), TimerFired(12345)) == []
+    assert driver.handle_events(AttemptEnded(request, 0, Outcome.ERROR, 5)) == []
+    assert (
+        driver.handle_events(AttemptEnded(999, 0, Outcome.OK, 5), ClientDisconnected(999), TimerFired(12345))
+        == []
+    )
     other, _ = driver.request()
-    assert driver.tell(AttemptEnded(other, 7, Outcome.OK, -3)) == []
+    assert driver.handle_events(AttemptEnded(other, 7, Outcome.OK, -3)) == []
 
 
 def test_disconnected_client_gets_nothing_more() -> None:
     driver = Driver()
     request, _ = driver.request()
-    driver.tell(ClientDisconnected(request))
+    driver.handle_events(ClientDisconnected(request))
     assert driver.end(request, Outcome.ERROR) == []
     assert driver.wait(5000) == []
     assert not driver.balancer.requests
@@ -200,10 +203,10 @@
     driver = Driver()
     driver.request()
     with pytest.raises(ValueError, match="arrived twice"):
-        driver.tell(RequestArrived(1, "safe"))
+        driver.handle_events(RequestArrived(1, "safe"))
     driver.now_ms -= 1
     with pytest.raises(ValueError, match="time ran backwards"):
-        driver.tell()
+        driver.handle_events()
     with pytest.raises(ValueError, match="latency_objective_ms and deadline_ms"):
         replace(SETTINGS, classes=(replace(SAFE, latency_objective_ms=0),))
     with pytest.raises(ValueError, match="share a name"):
--- a/tests/balancer/test_send_guard.py
+++ b/tests/balancer/test_send_guard.py
@@ -68,7 +68,9 @@
 
 def test_nothing_is_sent_to_draining_or_gone_servers() -> None:
     driver = Driver()
-    driver.tell(delta(endpoint("s1", state=EndpointState.DRAINING), endpoint("s2", state=EndpointState.GONE)))
+    driver.handle_events(
+        delta(endpoint("s1", state=EndpointState.DRAINING), endpoint("s2", state=EndpointState.GONE))
+    )
     driver.serve(20)
     assert {name for sent in driver.sent.values() for name in sent} == {"s3"}
 
@@ -89,7 +91,7 @@
 
     driver = Driver()
     send_rounds(100)
-    driver.tell(delta(endpoint("new", started_ms=driver.now_ms)))
+    driver.handle_events(delta(endpoint("new", started_ms=driver.now_ms)))
     during_slow_start = send_rounds(30)  # 3 s of the 10 s that warming up may take
     assert 0 < during_slow_start.count("new") < len(during_slow_start) / 4 * 0.6
     driver.wait(10_000)
@@ -192,7 +194,7 @@
         request_state = driver.balancer.requests[request]
         request_state.attempts[0].outcome, request_state.attempts_in_flight = Outcome.REJECTED, 0
         driver.wait(past_window)
-        driver.tell()
+        driver.handle_events()
         assert driver.balancer.guard.may_send(request_state, server)
         request_state.attempts[0].outcome = Outcome.TIMEOUT
         assert not driver.balancer.guard.may_send(request_state, server)
@@ -220,7 +222,7 @@
         for i in range(1, 41):
             driver.request()
             driver.wait(50)
-            driver.tell(AttemptEnded(i, 0, Outcome.OK, 50.0, True, report=(4.0 + queued, queued)))
+            driver.handle_events(AttemptEnded(i, 0, Outcome.OK, 50.0, True, report=(4.0 + queued, queued)))
         limit = driver.balancer.endpoint_set.endpoints["s1"].concurrency_limit
         assert (limit < 4) == shrinks
 
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -78,11 +78,11 @@
         self.sent: dict[int, list[str]] = {}
         self.log: list[Action] = []
         self.last_id = 0
-        self.tell(EndpointsListed(ListKind.RESTORED, tuple(endpoints)))
+        self.handle_events(EndpointsListed(ListKind.RESTORED, tuple(endpoints)))
         for known in self.balancer.endpoint_set.endpoints.values():
             known.concurrency_limit = 4.0  # as after some answers; a new endpoint begins at 1
 
-    def tell(self, *events: Event) -> list[Action]:
+    def handle_events(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now_ms, events)
         for action in actions:
             if isinstance(action, SetTimer):
@@ -99,19 +99,19 @@
             timer = min(due)
             self.timers.remove(timer)
             self.now_ms = max(self.now_ms, timer[0])
-            done += self.tell(TimerFired(timer[1]))
+            done += self.handle_events(TimerFired(timer[1]))
         self.now_ms = until
         return done
 
     def request(self, class_name: str = "safe", deadline_ms: float | None = None) -> tuple[int, list[Action]]:
         self.last_id += 1
-        return self.last_id, self.tell(RequestArrived(self.last_id, class_name, deadline_ms))
+        return self.last_id, self.handle_events(RequestArrived(self.last_id, class_name, deadline_ms))
 
     def end(self, request_id: int, outcome: Outcome, latency_ms: float = 50.0) -> list[Action]:
         """Report the end of the last attempt of a request; returns the actions."""
         attempt = len(self.sent[request_id]) - 1
         answered = outcome is Outcome.OK
-        return self.tell(AttemptEnded(request_id, attempt, outcome, latency_ms, answered))
+        return self.handle_events(AttemptEnded(request_id, attempt, outcome, latency_ms, answered))
 
     def serve(self, count: int, class_name: str = "safe", latency_ms: float = 50.0) -> None:
         """Send `count` requests, each served before the next arrives."""
--- a/tests/limits/test_fleet_days.py
+++ b/tests/limits/test_fleet_days.py
@@ -29,7 +29,7 @@
 ) -> Driver:
     driver = Driver(BALANCER_SETTINGS, ())
     driver.balancer = Balancer(BALANCER_SETTINGS, 1, operators.balancer_hook(BALANCER_SETTINGS, 1))
-    driver.tell(EndpointsListed(ListKind.FULL, tuple(FLEET if endpoints is None else endpoints)))
+    driver.handle_events(EndpointsListed(ListKind.FULL, tuple(FLEET if endpoints is None else endpoints)))
     return driver
 
 
@@ -63,7 +63,7 @@
 def test_answers_of_draining_endpoints_are_ignored() -> None:
     driver = make_driver()
     draining = [replace(e, state=EndpointState.DRAINING) if e.name in ("s0", "s1") else e for e in FLEET]
-    driver.tell(EndpointsListed(ListKind.FULL, tuple(draining)))
+    driver.handle_events(EndpointsListed(ListKind.FULL, tuple(draining)))
     hook = overload_hook(driver)
     for step in range(40):
         hook.window.in_flight += 1
@@ -89,14 +89,14 @@
     driver = make_driver()
     before = window_of(driver).size
     draining = [replace(e, state=EndpointState.DRAINING) if n < 8 else e for n, e in enumerate(FLEET)]
-    driver.tell(EndpointsListed(ListKind.FULL, tuple(draining)))
+    driver.handle_events(EndpointsListed(ListKind.FULL, tuple(draining)))
     assert window_of(driver).size == pytest.approx(before * 2 / 3)
     fresh = [endpoint(f"new{n}", started_ms=driver.now_ms) for n in range(8)]
-    driver.tell(EndpointsListed(ListKind.FULL, (*draining, *fresh)))
+    driver.handle_events(EndpointsListed(ListKind.FULL, (*draining, *fresh)))
     # An endpoint that is not warmed up counts for its least capacity: a fifth.
     assert window_of(driver).size == pytest.approx(before * (16 + 8 * 0.2) / 24)
     for _ in range(50):  # the same list again changes nothing
-        driver.tell(EndpointsListed(ListKind.FULL, (*draining, *fresh)))
+        driver.handle_events(EndpointsListed(ListKind.FULL, (*draining, *fresh)))
     assert window_of(driver).size == pytest.approx(before * (16 + 8 * 0.2) / 24)
 
 
@@ -119,7 +119,7 @@
     driver = make_driver()
     driver.serve(60)
     fresh = [endpoint(f"new{n}", started_ms=driver.now_ms) for n in range(12)]
-    driver.tell(EndpointsListed(ListKind.FULL, (*FLEET, *fresh)))
+    driver.handle_events(EndpointsListed(ListKind.FULL, (*FLEET, *fresh)))
     for known in driver.balancer.endpoint_set.endpoints.values():
         known.concurrency_limit = 50.0
         # More than is used here.
@@ -145,7 +145,7 @@
     driver = Driver(replace(BALANCER_SETTINGS, proxies=3), FLEET[:4])
     driver.serve(40)
     cold = endpoint("new", started_ms=driver.now_ms)
-    driver.tell(EndpointsListed(ListKind.FULL, (*FLEET[:4], cold)))
+    driver.handle_events(EndpointsListed(ListKind.FULL, (*FLEET[:4], cold)))
     endpoint_set, picker = driver.balancer.endpoint_set, driver.balancer.picker
     new, old = endpoint_set.endpoints["new"], endpoint_set.endpoints["s0"]
     ratio = picker.score(driver.now_ms, new, "safe") / picker.score(driver.now_ms, old, "safe")
--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -38,7 +38,7 @@
 def make_driver(operators: OperatorSettings, balancer_settings: object = BALANCER_SETTINGS) -> Driver:
     driver = Driver(balancer_settings, ())  # type: ignore[arg-type]
     driver.balancer = Balancer(balancer_settings, 1, operators.balancer_hook(balancer_settings, 1))  # type: ignore[arg-type]
-    driver.tell(EndpointsListed(ListKind.FULL, FLEET))
+    driver.handle_events(EndpointsListed(ListKind.FULL, FLEET))
     for known in driver.balancer.endpoint_set.endpoints.values():
         known.concurrency_limit = 50.0  # so high that only the hook limits requests
     return driver
@@ -67,7 +67,7 @@
         assert any(isinstance(a, Send) for a in actions)
         driver.wait(5.0)
         attempt = AttemptEnded(request, 0, Outcome.OK, 5.0, answered=True, report=IDLE)
-        driver.tell(attempt)
+        driver.handle_events(attempt)
     assert not any(isinstance(a, Reject) for a in driver.log)
 
 
@@ -83,7 +83,7 @@
             request, actions = driver.request(name)
             rejected[name] += any(isinstance(a, Reject) for a in actions)
             if request in driver.sent:
-                driver.tell(AttemptEnded(request, 0, Outcome.OK, 5.0, answered=True))
+                driver.handle_events(AttemptEnded(request, 0, Outcome.OK, 5.0, answered=True))
     assert rejected["unsafe"] <= 2
     assert rejected["safe"] >= 90
 
@@ -98,10 +98,10 @@
         request, _ = driver.request("unsafe")
         driver.wait(50.0)
         if request in driver.sent:
-            driver.tell(AttemptEnded(request, 0, Outcome.OK, 50.0, answered=True, report=IDLE))
+            driver.handle_events(AttemptEnded(request, 0, Outcome.OK, 50.0, answered=True, report=IDLE))
         assert driver.now_ms - began_ms < 10_000.0
     request, _ = driver.request("unsafe")
-    driver.tell(AttemptEnded(request, 0, Outcome.OK, 50.0, answered=True, report=IDLE))
+    driver.handle_events(AttemptEnded(request, 0, Outcome.OK, 50.0, answered=True, report=IDLE))
     log_texts = [a.text for a in driver.log if hasattr(a, "text")]
     assert any("servers are full" in text for text in log_texts)
     assert any("have room" in text for text in log_texts)
@@ -163,7 +163,7 @@
     overload_hook(driver).window.in_flight = 10  # requests that are not simulated here
     requests = [driver.request(name)[0] for name in ("safe", "unsafe", "safe")]
     overload_hook(driver).window.in_flight = 1
-    driver.tell()
+    driver.handle_events()
     sent = [request for request in requests if request in driver.sent]
     assert sent == [requests[1]]
 
@@ -171,9 +171,9 @@
 def test_a_retry_that_would_be_late_is_rejected_at_once() -> None:
     driver = make_driver(OVERLOAD_ON)
     late = RequestArrived(1, "safe", first_request_ms=driver.now_ms - SAFE.latency_objective_ms)
-    assert driver.tell(late) == [Reject(1, 0.0)]
+    assert driver.handle_events(late) == [Reject(1, 0.0)]
     recent = RequestArrived(2, "safe", first_request_ms=driver.now_ms - 0.2 * SAFE.latency_objective_ms)
-    assert any(isinstance(a, Send) for a in driver.tell(recent))
+    assert any(isinstance(a, Send) for a in driver.handle_events(recent))
 
 
 def test_rejections_carry_jittered_retry_after_times_if_settings_allow_them() -> None:
@@ -185,7 +185,9 @@
     for balancer_settings, has_retry_after in ((BALANCER_SETTINGS, False), (allowed, True)):
         driver = make_driver(stated, balancer_settings)
         for number in range(50):
-            driver.tell(RequestArrived(1000 + number, "safe", first_request_ms=driver.now_ms - 2000.0))
+            driver.handle_events(
+                RequestArrived(1000 + number, "safe", first_request_ms=driver.now_ms - 2000.0)
+            )
         times_ms = [a.retry_after_ms for a in driver.log if isinstance(a, Reject)]
         assert len(times_ms) == 50
         if has_retry_after:
@@ -200,12 +202,12 @@
     hook = overload_hook(driver)
     for number in range(3000):
         endpoints = (endpoint(f"s{number}", zone="a"), endpoint(f"s{number + 1}", zone="a"))
-        driver.tell(EndpointsListed(ListKind.FULL, endpoints))
+        driver.handle_events(EndpointsListed(ListKind.FULL, endpoints))
         # Also a request of an unknown class.
         request, _ = driver.request(("unsafe", "nobody's")[number % 2])
         if request in driver.sent:
             outcome = (Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT)[number % 3]
-            driver.tell(AttemptEnded(request, 0, outcome, 9.0, outcome is Outcome.OK, report=IDLE))
+            driver.handle_events(AttemptEnded(request, 0, outcome, 9.0, outcome is Outcome.OK, report=IDLE))
         driver.wait(20.0)
     driver.wait(10_000.0)
     assert hook.window.in_flight == 0
--- a/tests/limits/test_trial_attempts.py
+++ b/tests/limits/test_trial_attempts.py
@@ -60,7 +60,7 @@
     settings = fleet.settings()
     driver = Driver(settings, ())
     driver.balancer = Balancer(settings, 1, PLATFORM_OPERATORS.balancer_hook(settings, 1))
-    driver.tell(EndpointsListed(ListKind.FULL, endpoints))
+    driver.handle_events(EndpointsListed(ListKind.FULL, endpoints))
     return driver
 
 
@@ -139,7 +139,7 @@
             _, request_id, number, result = in_flight.pop(0)
             is_answered = result.outcome is Outcome.OK
             latency_ms = result.latency_ms or 0.0
-            driver.tell(
+            driver.handle_events(
                 AttemptEnded(request_id, number, result.outcome, latency_ms, is_answered, result.report)
             )
             start_attempts()
@@ -192,7 +192,7 @@
         driver.request("unsafe")
         for send in [action for action in driver.log if isinstance(action, Send)]:
             times.append(driver.now_ms - start_ms)
-            driver.tell(AttemptEnded(send.request_id, 0, Outcome.ERROR, 1.0, answered=False))
+            driver.handle_events(AttemptEnded(send.request_id, 0, Outcome.ERROR, 1.0, answered=False))
         driver.log.clear()
         driver.wait(every_ms)
     return times
--- a/tests/membership/test_suspicions.py
+++ b/tests/membership/test_suspicions.py
@@ -216,7 +216,7 @@
     driver = Driver(endpoints=ENDPOINTS[:4])
     suspicions = make_suspicions(ENDPOINTS[:4])
     driver.balancer = Balancer(driver.balancer.settings, 1, suspicions)
-    driver.tell(full(*ENDPOINTS[:4]))
+    driver.handle_events(full(*ENDPOINTS[:4]))
     for known in driver.balancer.endpoint_set.endpoints.values():
         known.concurrency_limit = 50.0
     sent = dict.fromkeys(SERVERS[:4], 0)
@@ -235,7 +235,7 @@
     suspicions = make_suspicions(ENDPOINTS[:2])
     driver = Driver(endpoints=ENDPOINTS[:2])
     driver.balancer = Balancer(driver.balancer.settings, 1, suspicions)
-    driver.tell(full(ENDPOINTS[0], replace(ENDPOINTS[1], state=EndpointState.DRAINING)))
+    driver.handle_events(full(ENDPOINTS[0], replace(ENDPOINTS[1], state=EndpointState.DRAINING)))
     for observer in range(20):
         deliver_report(suspicions, driver.now_ms, observer, observation("s0"))
     request_id, _ = driver.request("unsafe")
--- a/tests/outlier/test_ejection_hook.py
+++ b/tests/outlier/test_ejection_hook.py
@@ -26,7 +26,7 @@
     driver.balancer = Balancer(
         settings, seed, OperatorSettings(reach=outlier_settings).balancer_hook(settings, seed)
     )
-    driver.tell(EndpointsListed(ListKind.FULL, tuple(FLEET)))
+    driver.handle_events(EndpointsListed(ListKind.FULL, tuple(FLEET)))
     return driver
 
 
@@ -47,7 +47,7 @@
             driver.wait(20.0)
             is_unreachable = server[0] in unreachable_zones
             outcome = Outcome.CONNECT_FAILED if is_unreachable else Outcome.OK
-            driver.tell(AttemptEnded(request, number, outcome, 20.0, answered=not is_unreachable))
+            driver.handle_events(AttemptEnded(request, number, outcome, 20.0, answered=not is_unreachable))
             if not is_unreachable:
                 break
             driver.wait(300.0)
@@ -84,7 +84,7 @@
     draining = [
         replace(listed, state=EndpointState.DRAINING) if listed.zone in "bc" else listed for listed in FLEET
     ]
-    driver.tell(EndpointsListed(ListKind.DELTA, tuple(draining)))
+    driver.handle_events(EndpointsListed(ListKind.DELTA, tuple(draining)))
     before = len(driver.sent)
     send_requests(driver, 200, "bc")
     sent_later = [server for servers in list(driver.sent.values())[before:] for server in servers]
@@ -107,7 +107,7 @@
     settings = replace(BALANCER_SETTINGS, proxies=proxies)
     driver = Driver(settings, ())
     driver.balancer = Balancer(settings, 1, hook)
-    driver.tell(EndpointsListed(ListKind.FULL, tuple(FLEET)))
+    driver.handle_events(EndpointsListed(ListKind.FULL, tuple(FLEET)))
     return driver
 
 
@@ -134,7 +134,7 @@
     draining = [
         replace(listed, state=EndpointState.DRAINING) if listed.name == "a0" else listed for listed in FLEET
     ]
-    driver.tell(EndpointsListed(ListKind.FULL, tuple(draining)))
+    driver.handle_events(EndpointsListed(ListKind.FULL, tuple(draining)))
     driver.serve(20)
     assert not any("a0" in servers for servers in list(driver.sent.values())[1:])
 
@@ -162,7 +162,7 @@
         driver = Driver(replace(BALANCER_SETTINGS, proxies=12), FLEET[:8], seed)
         driver.serve(40)
         new_server = endpoint("new", started_ms=driver.now_ms)
-        driver.tell(EndpointsListed(ListKind.FULL, (*FLEET[:8], new_server)))
+        driver.handle_events(EndpointsListed(ListKind.FULL, (*FLEET[:8], new_server)))
         pool, began_ms, before = driver.balancer.endpoint_set.local, driver.now_ms, len(driver.sent)
         warming_up = driver.balancer.endpoint_set.endpoints["new"]
         # Time until one instance alone may send a request to it.
--- a/tests/routing/test_connected.py
+++ b/tests/routing/test_connected.py
@@ -30,7 +30,7 @@
 ALONE = replace(SETTINGS, proxies=1)
 
 
-def with_connections(connections: int | None, settings: Settings = ALONE) -> Settings:
+def with_connection_limit(connections: int | None, settings: Settings = ALONE) -> Settings:
     return replace(settings, limits=replace(settings.limits, connections=connections))
 
 
@@ -70,7 +70,7 @@
         self._random = Random(seed)
         self.balancer.handle(0.0, [full(*servers)])
 
-    def tell(self, event: Event) -> list[Action]:
+    def handle_event(self, event: Event) -> list[Action]:
         return self.balancer.handle(self.balancer.now_ms, [event])
 
     def send_request(self, class_name: str = "safe") -> str:
@@ -106,8 +106,10 @@
 
 def test_requests_rarely_dial_however_long_the_list_is() -> None:
     for count in (120, 680):
-        assert dials_per_request(with_connections(None), count, 60) > 0.4  # without the limit being known
-        assert dials_per_request(with_connections(60), count, 60) < 0.01
+        assert (
+            dials_per_request(with_connection_limit(None), count, 60) > 0.4
+        )  # without the limit being known
+        assert dials_per_request(with_connection_limit(60), count, 60) < 0.01
 
 
 def replay_actions(settings: Settings, count: int) -> Iterator[list[Action]]:
@@ -124,13 +126,13 @@
 
 @pytest.mark.parametrize(("count", "connections"), [(10, 320), (60, 181), (60, 60), (200, 320), (200, 200)])
 def test_lists_shorter_than_the_connections_are_used_as_before(count: int, connections: int) -> None:
-    before = list(replay_actions(with_connections(None), count))
-    assert list(replay_actions(with_connections(connections), count)) == before
+    before = list(replay_actions(with_connection_limit(None), count))
+    assert list(replay_actions(with_connection_limit(connections), count)) == before
 
 
 def test_every_server_is_used_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connected, "ANY_ENDPOINT_SHARE", 1 / 20)  # ten times as often, to keep the test short
-    runner = RequestRunner(with_connections(40), list_servers(100), 40)
+    runner = RequestRunner(with_connection_limit(40), list_servers(100), 40)
     for _ in range(8000):
         runner.send_request()
     assert len(runner.sent_counts) == 100
@@ -141,7 +143,7 @@
     # All have the same position on the ring: if each used a part of it, they would overload the same servers.
     load: Counter[str] = Counter()
     for seed in range(60):
-        runner = RequestRunner(with_connections(80), list_servers(200), 80, seed)
+        runner = RequestRunner(with_connection_limit(80), list_servers(200), 80, seed)
         for _ in range(500):
             runner.send_request()
         load += runner.sent_counts
@@ -152,7 +154,7 @@
 
 def test_a_change_of_one_server_keeps_the_other_connected_servers() -> None:
     servers = list_servers(200)
-    runner = RequestRunner(with_connections(80), servers, 80)
+    runner = RequestRunner(with_connection_limit(80), servers, 80)
     for _ in range(800):
         runner.send_request()
     kept = runner.balancer.connected_endpoints
@@ -164,7 +166,7 @@
     before = connected_names()
     assert len(before) == int(KEPT_SHARE * 80)
     removed = min(before)
-    runner.tell(full(*(each for each in servers if each.name != removed), endpoint("new")))
+    runner.handle_event(full(*(each for each in servers if each.name != removed), endpoint("new")))
     assert connected_names() == before - {removed}
     drained = min(connected_names())
     remaining = [
@@ -172,19 +174,19 @@
         for each in servers
         if each.name != removed
     ]
-    runner.tell(full(*remaining))
+    runner.handle_event(full(*remaining))
     assert connected_names() == before - {removed, drained}
 
 
 def test_a_policy_change_keeps_the_connected_servers() -> None:
     servers = list_servers(200)
-    runner = RequestRunner(with_connections(80), servers, 80)
+    runner = RequestRunner(with_connection_limit(80), servers, 80)
     for _ in range(800):
         runner.send_request()
     before = runner.balancer
     kept = [each.listed.name for each in before.connected_endpoints]
     restarted = min(kept)
-    runner.balancer = Balancer(with_connections(80), 9)
+    runner.balancer = Balancer(with_connection_limit(80), 9)
     changed = [replace(each, started_ms=5.0) if each.name == restarted else each for each in servers]
     runner.balancer.handle(before.now_ms, [full(*changed)])
     InFlightHandover(runner.balancer).take_over(before)
@@ -196,7 +198,7 @@
 
 
 def test_failed_servers_are_avoided_at_once_while_others_are_ready() -> None:
-    runner = RequestRunner(with_connections(40), list_servers(120), 40)
+    runner = RequestRunner(with_connection_limit(40), list_servers(120), 40)
     for _ in range(600):
         runner.send_request()
     known = runner.balancer.endpoint_set.endpoints
@@ -212,7 +214,7 @@
     cold = endpoint("cold", started_ms=0.0)
     sent = {}
     for connections in (None, 40):
-        runner = RequestRunner(with_connections(connections), [*list_servers(100), cold], 40)
+        runner = RequestRunner(with_connection_limit(connections), [*list_servers(100), cold], 40)
         for _ in range(1500):
             runner.send_request()
         sent[connections] = runner.sent_counts["cold"]
@@ -221,7 +223,7 @@
 
 def test_keyed_retries_go_to_another_server_of_the_same_zone() -> None:
     servers = list_servers(150)
-    driver = Driver(with_connections(60), servers)
+    driver = Driver(with_connection_limit(60), servers)
     driver.serve(400, latency_ms=4.0)
     assert driver.balancer.connected_endpoints.connections_are_short
     zone = {each.name: each.zone for each in servers}
@@ -252,7 +254,7 @@
     connections: int, count: int, steps: list[tuple[str, int]], seed: int
 ) -> None:
     servers = {each.name: each for each in list_servers(count)}
-    runner = RequestRunner(with_connections(connections), list(servers.values()), connections, seed)
+    runner = RequestRunner(with_connection_limit(connections), list(servers.values()), connections, seed)
     max_kept = max(2, int(KEPT_SHARE * connections))
     for kind, number in steps:
         name = sorted(servers)[number % len(servers)]
@@ -277,7 +279,7 @@
         elif kind == "restart":
             servers[name] = replace(servers[name], started_ms=float(number))
         if kind not in ("call", "down", "up"):
-            runner.tell(full(*servers.values()))
+            runner.handle_event(full(*servers.values()))
         kept = runner.balancer.connected_endpoints
         known = runner.balancer.endpoint_set.endpoints
         in_use = [n for n, each in known.items() if each in kept]
@@ -286,12 +288,12 @@
 
 
 def test_requests_wait_only_while_no_server_is_ready() -> None:
-    runner = RequestRunner(with_connections(40), list_servers(100), 40)
+    runner = RequestRunner(with_connection_limit(40), list_servers(100), 40)
     for _ in range(300):
         assert runner.send_request()
     drained = [replace(each, state=EndpointState.DRAINING) for each in list_servers(100)]
-    runner.tell(full(*drained))
+    runner.handle_event(full(*drained))
     assert runner.send_request() == ""  # the request is pending
-    actions = runner.tell(full(*drained[1:], list_servers(1)[0]))
+    actions = runner.handle_event(full(*drained[1:], list_servers(1)[0]))
     assert [each.endpoint for each in actions if isinstance(each, Send)] == ["s000"]
-    assert not any(isinstance(each, Reject) for each in runner.tell(RequestArrived(10**6, SAFE.name)))
+    assert not any(isinstance(each, Reject) for each in runner.handle_event(RequestArrived(10**6, SAFE.name)))
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -463,7 +463,7 @@
     driver.balancer = Balancer(
         balancer_settings, seed, LocalityRouter(locality_settings or LocalitySettings(), balancer_settings)
     )
-    driver.tell(EndpointsListed(ListKind.RESTORED, FLEET))
+    driver.handle_events(EndpointsListed(ListKind.RESTORED, FLEET))
     for known in driver.balancer.endpoint_set.endpoints.values():
         known.concurrency_limit = 4.0
     return driver
@@ -490,7 +490,7 @@
 def test_draining_endpoints_get_nothing_whatever_the_hook_prefers() -> None:
     driver = make_driver()
     draining = [replace(e, state=EndpointState.DRAINING) if e.zone == "a" else e for e in FLEET]
-    driver.tell(EndpointsListed(ListKind.FULL, tuple(draining)))
+    driver.handle_events(EndpointsListed(ListKind.FULL, tuple(draining)))
     for _ in range(6):
         driver.request("safe")
         driver.wait(300.0)
@@ -539,9 +539,9 @@
 
 def test_state_changes_of_zones_are_logged() -> None:
     driver = make_driver()
-    driver.tell(EndpointsListed(ListKind.FULL, tuple(e for e in FLEET if e.zone != "a")))
+    driver.handle_events(EndpointsListed(ListKind.FULL, tuple(e for e in FLEET if e.zone != "a")))
     driver.serve(1)
-    driver.tell(EndpointsListed(ListKind.FULL, FLEET))
+    driver.handle_events(EndpointsListed(ListKind.FULL, FLEET))
     assert any(isinstance(action, Log) and "hall a" in action.text for action in driver.log)
 
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -39,7 +39,7 @@
 SYNC: Json = {"sync": {"scope": "restored", "revision": 1, "list": 0}}
 
 
-def start_instance(seed: int = 7) -> Json:
+def start_message(seed: int = 7) -> Json:
     return {"begin": {"seed": seed, "facts": FACTS}}
 
 
@@ -66,7 +66,7 @@
         "resolved": {"handle": 5, "n": 0, "host": "h1", "verdict": 100, "delay_seen_ms": 9.5, "closed": True}
     }
     code, replies, err = run(
-        batch(1, 10, "proxy_0", start_instance(), REGISTER, SYNC, request(5)), batch(2, 20, "proxy_0", ok)
+        batch(1, 10, "proxy_0", start_message(), REGISTER, SYNC, request(5)), batch(2, 20, "proxy_0", ok)
     )
     (sent,) = replies[0]["groups"][0]["cmds"]
     assert sent["try"]["handle"] == 5
@@ -82,9 +82,9 @@
         ('{"n":1,"groups":[]}', "ts_ms"),
         ('{"ts_ms":1,"n":1,"groups":[{"who":"proxy_0","news":[7]}]}', "one key"),
         ('{"ts_ms":1,"n":1,"groups":[{"who":"proxy_0","news":[{"left":5}]}]}', "not an object"),
-        (batch(1, 1, "proxy_0", start_instance(), {"new_request": {"handle": 1}}), "give_up_at_ms"),
+        (batch(1, 1, "proxy_0", start_message(), {"new_request": {"handle": 1}}), "give_up_at_ms"),
         (
-            batch(1, 1, "proxy_0", start_instance(), {"new_request": {"handle": "x", "give_up_at_ms": 5}}),
+            batch(1, 1, "proxy_0", start_message(), {"new_request": {"handle": "x", "give_up_at_ms": 5}}),
             "handle",
         ),
         (
@@ -92,7 +92,7 @@
             "settings.balancers",
         ),
         (batch(1, 1, "proxy_0", {"left": {"handle": 1}}), "proxy_0"),
-        (batch(1, 1, "proxy_0", start_instance(), {"sync": {"scope": "replace", "list": 3}}), "3"),
+        (batch(1, 1, "proxy_0", start_message(), {"sync": {"scope": "replace", "list": 3}}), "3"),
     ],
 )
 def test_unreadable_line_ends_the_adapter_with_one_line(line: str, expected_text: str) -> None:
@@ -105,7 +105,7 @@
 
 def test_unknown_event_is_reported_once_and_ignored() -> None:
     new = {"weather": {"rain": True}}
-    code, replies, err = run(batch(1, 1, "proxy_0", start_instance(), new, new), batch(2, 2, "proxy_0", new))
+    code, replies, err = run(batch(1, 1, "proxy_0", start_message(), new, new), batch(2, 2, "proxy_0", new))
     assert code == 0
     assert len(replies) == 2
     assert err.count("weather") == 1
@@ -159,9 +159,9 @@
 
 def test_kill_discards_pending_events_and_a_restart_has_no_state() -> None:
     code, replies, _ = run(
-        batch(1, 10, "proxy_0", start_instance(), REGISTER, SYNC, request(5)),
+        batch(1, 10, "proxy_0", start_message(), REGISTER, SYNC, request(5)),
         batch(2, 20, "proxy_0", {"left": {"handle": 5}}, request(6), {"power_off": {}}),
-        batch(3, 30, "proxy_0", start_instance(8), SYNC, {"timeout_fired": {"cookie": 1}}, request(5)),
+        batch(3, 30, "proxy_0", start_message(8), SYNC, {"timeout_fired": {"cookie": 1}}, request(5)),
     )
     assert code == 0
     assert replies[1]["groups"] == []
@@ -171,7 +171,7 @@
 def test_list_numbers_are_reused_in_event_order() -> None:
     other: Json = {"register": {"list": 0, "members": [{"host": "h9", "lifecycle": "ready"}]}}
     replace: Json = {"sync": {"scope": "replace", "revision": 2, "list": 0}}
-    _, replies, _ = run(batch(1, 10, "proxy_0", start_instance(), REGISTER, SYNC, other, replace, request(5)))
+    _, replies, _ = run(batch(1, 10, "proxy_0", start_message(), REGISTER, SYNC, other, replace, request(5)))
     assert replies[0]["groups"][0]["cmds"][0]["try"]["host"] == "h9"
 
 
@@ -180,7 +180,7 @@
         raise ZeroDivisionError("a bug")
 
     monkeypatch.setattr(Balancer, "handle", crash)
-    code, replies, err = run(batch(1, 10, "proxy_0", start_instance(), REGISTER, SYNC))
+    code, replies, err = run(batch(1, 10, "proxy_0", start_message(), REGISTER, SYNC))
     assert code != 0
     assert "a bug" in err
     assert replies[0]["groups"][0]["cmds"] == [{"give_in": {"message": "ZeroDivisionError: a bug"}}]
@@ -189,7 +189,7 @@
 def two_instance_batches() -> list[str]:
     """Returns the batches of a sequence with two instances, failures and retries."""
     lines = [
-        batch(0, 0, who, start_instance(i), REGISTER, SYNC) for i, who in enumerate(("proxy_0", "proxy_1"))
+        batch(0, 0, who, start_message(i), REGISTER, SYNC) for i, who in enumerate(("proxy_0", "proxy_1"))
     ]
     for i in range(60):
         who, at = f"proxy_{i % 2}", 10.0 * i + 10
