--- a/client_proxy/api/settings.py
+++ b/client_proxy/api/settings.py
@@ -48,7 +48,7 @@
     name: str
     latency_objective_ms: float  # ms; an answer within this time earns the full weight
     deadline_ms: float  # ms; from the client's request; later an answer is useless
-    priority_weight: float = 1.0  # of a served request in the objective
+    priority_weight: float = 1.0  # weight of a served request in the objective
     late_weight_share: float = 0.0  # share of the weight that an answer between objective and deadline earns
     latency_objective_stretch: float = 0.0  # extends the objective, by this multiple of the request's work
     idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
@@ -68,12 +68,12 @@
     probes: bool = False  # whether load probes may be sent
     retry_after: bool = False  # whether a rejection may state a retry-after time
     max_retry_after_ms: float = 0.0  # ms; longest retry-after time
-    connect_timeout_ms: float = 250.0  # ms
+    connect_timeout_ms: float = 250.0  # ms; a dial that takes longer has failed
     connection_idle_timeout_ms: float | None = None  # ms; idle connections are closed after it; None: unknown
     streams_per_connection: int = 1  # attempts that may share a connection at a time
     max_pending_requests: int | None = None  # most requests that the proxy may hold; None: not stated
     cpu_us_per_s: float | None = None  # CPU time for decisions, µs per second; None: not stated
-    cpu_us_per_request: float | None = None  # the same per request, on average; None: not stated
+    cpu_us_per_request: float | None = None  # mean CPU time for decisions, µs per request; None: not stated
     connections: int | None = None  # most open connections to servers; None: not stated
 
 
@@ -95,7 +95,7 @@
     # An endpoint in slow start fails if it is sent more than this multiple of its present capacity during the
     # window.
     slow_start_limit_multiple: float = 3.0
-    slow_start_limit_window_ms: float = 1000.0  # ms
+    slow_start_limit_window_ms: float = 1000.0  # ms; length of that window
     max_poll_interval_ms: float = 10_000.0  # ms; longest time between calls to discovery if not subscribed
     answer_grace_ms: float = 0.0  # ms; a final answer up to this long after the deadline still counts
     drain_grace_ms: float = 0.0  # ms; sends to an endpoint must stop this soon after it begins to drain
@@ -121,9 +121,9 @@
     """Weights of the parts that make up the result."""
 
     overall: float = 1.0  # weight served over weight requested, over the whole run
-    worst_window: float = 0.0  # the same in the worst time window
-    worst_class: float = 0.0  # the same for the class served worst
-    worst_tenant: float = 0.0  # the same for the tenant served worst, within its quota
+    worst_window: float = 0.0  # weight served over weight requested, in the worst time window
+    worst_class: float = 0.0  # weight served over weight requested, for the class served worst
+    worst_tenant: float = 0.0  # weight served over requested, of the tenant served worst within its quota
     tail: float = 0.0  # weight served in time; counts in full only while few requests miss their objective
     tail_slack: float = 0.0  # share of requests missing their objective that still counts as few
     nines: float = 0.0  # mean of -log10 of the share not served in time, divided by `full_at_nines`
--- a/client_proxy/balancer/class_demand.py
+++ b/client_proxy/balancer/class_demand.py
@@ -14,8 +14,8 @@
         self._objective = settings.objective
         self._weight_by_work = settings.weight_by_work
         self._priority_weights = {cls.name: cls.priority_weight for cls in settings.classes}
-        # All three are smoothed and by class: share of the requests, work per request of any class, and
-        # earned share of the priority weight.
+        # Smoothed values by class, in this order: its share of the requests, the work per request of any
+        # class, and the earned share of its priority weight.
         self._requests = dict.fromkeys(self._priority_weights, 1.0)
         self._work = dict.fromkeys(self._priority_weights, 1.0)
         self._served = dict.fromkeys(self._priority_weights, 1.0)
--- a/client_proxy/balancer/endpoint.py
+++ b/client_proxy/balancer/endpoint.py
@@ -82,16 +82,16 @@
         """The expected value of sending a request of the class here: earned weight over slowness."""
         return self.class_statistics[class_name].earned_weight / self.slowness
 
-    def suspended(self, now_ms: float) -> bool:
+    def is_suspended(self, now_ms: float) -> bool:
         """Whether the endpoint gets no requests for now, of any class: it is paused or stalled."""
-        return now_ms < self.paused_until_ms or self.stalled(now_ms)
+        return now_ms < self.paused_until_ms or self.is_stalled(now_ms)
 
     def has_capacity(self, now_ms: float, class_name: str = "") -> bool:
         """Whether one more request of the class is within the limit and no pause or stall prevents it."""
-        paused = now_ms < self.class_statistics[class_name].paused_until_ms or self.suspended(now_ms)
+        paused = now_ms < self.class_statistics[class_name].paused_until_ms or self.is_suspended(now_ms)
         return self.in_flight < self.concurrency_limit and not paused
 
-    def stalled(self, now_ms: float) -> bool:
+    def is_stalled(self, now_ms: float) -> bool:
         """Whether attempts are in flight and no answer has come for `STALL_GAPS` times the usual gap.
 
         Without this check a hung or disconnected endpoint would be sent requests until the first time-out.
--- a/client_proxy/balancer/endpoint_selection.py
+++ b/client_proxy/balancer/endpoint_selection.py
@@ -38,9 +38,9 @@
             only_slow_starting: whether to consider only endpoints that are warming up, and those only while
                 few attempts are in flight at recently started endpoints.
         """
-        candidates = self._candidates(request, pool)
+        candidates = self._find_candidates(request, pool)
         if only_slow_starting:
-            candidates = self._only_slow_starting(candidates, pool)
+            candidates = self._keep_slow_starting(candidates, pool)
         tried = [attempt.endpoint for attempt in request.attempts]
         # A retry goes to an endpoint not tried yet; if there is none, to one where an attempt failed.
         candidates = [endpoint for endpoint in candidates if endpoint not in tried] or candidates
@@ -49,7 +49,7 @@
             endpoint.decay_towards_mean(now_ms, self._decay_span_ms, means.earned_weight, means.slowness)
         return self._picker.pick(now_ms, candidates, request.class_name)
 
-    def least_loaded(self, request: Request) -> Endpoint | None:
+    def select_least_loaded(self, request: Request) -> Endpoint | None:
         """The least loaded of all endpoints that the guard permits; suspended ones rank last."""
         now_ms = self._state.now_ms
         permitted = [
@@ -57,18 +57,18 @@
             for endpoint in self._endpoint_set.endpoints.values()
             if self._guard.may_send(request, endpoint)
         ]
-        return min(permitted, key=lambda e: (e.suspended(now_ms), e.in_flight), default=None)
+        return min(permitted, key=lambda e: (e.is_suspended(now_ms), e.in_flight), default=None)
 
-    def _candidates(self, request: Request, pool: Pool) -> list[Endpoint]:
+    def _find_candidates(self, request: Request, pool: Pool) -> list[Endpoint]:
         candidates = self._draw(request, pool) if pool.subset_size > MAX_SCANNED_POOL else []
         if len(candidates) < 2:
-            candidates = self._allowed(request, pool.endpoints_in_use(self._state.now_ms))
+            candidates = self._filter_allowed(request, pool.endpoints_in_use(self._state.now_ms))
         if not candidates and request.attempts:
             # The endpoints that would deduplicate this retry may lie outside the subset in use.
-            candidates = self._allowed(request, pool.ring)
+            candidates = self._filter_allowed(request, pool.ring)
         return candidates
 
-    def _only_slow_starting(self, candidates: list[Endpoint], pool: Pool) -> list[Endpoint]:
+    def _keep_slow_starting(self, candidates: list[Endpoint], pool: Pool) -> list[Endpoint]:
         """Candidates in slow start; none while enough attempts are in flight at recently started endpoints.
 
         Each of many such endpoints may have credit for a request; without this cap all credit would be spent
@@ -90,7 +90,7 @@
         tried = len(drawn)
         for _ in range(MAX_DRAWS):
             endpoint = pool.ring[self._random.randrange(pool.subset_size)]
-            if len(drawn) < tried + 2 and endpoint not in drawn and self._allowed(request, [endpoint]):
+            if len(drawn) < tried + 2 and endpoint not in drawn and self._filter_allowed(request, [endpoint]):
                 drawn.append(endpoint)
         return drawn[tried:]
 
@@ -102,12 +102,12 @@
             lambda: pool.ring[self._random.randrange(pool.subset_size)],
             lambda e: (
                 self._endpoint_set.pool_of(e) is pool
-                and self._idle_connections.idle_for(e, now_ms) is not None
+                and self._idle_connections.idle_ms_of(e, now_ms) is not None
             ),
-            lambda e: e not in tried and bool(self._allowed(request, [e])),
+            lambda e: e not in tried and bool(self._filter_allowed(request, [e])),
         )
 
-    def _allowed(self, request: Request, endpoints: list[Endpoint]) -> list[Endpoint]:
+    def _filter_allowed(self, request: Request, endpoints: list[Endpoint]) -> list[Endpoint]:
         now_ms, class_name, ejected = self._state.now_ms, request.class_name, self._ejected
         available = [
             e for e in endpoints if e.has_capacity(now_ms, class_name) and e.listed.name not in ejected
--- a/client_proxy/balancer/endpoint_set.py
+++ b/client_proxy/balancer/endpoint_set.py
@@ -27,7 +27,7 @@
         # If crossing zones is expensive, `local` is this proxy's zone and `remote` the others, which get what
         # the local zone cannot take. Otherwise all endpoints are in `local`.
         self.local, self.remote = Pool(settings, hook), Pool(settings, hook)
-        self.zone_pools: dict[str, Pool] = {}  # by zone; used instead of both if a hook orders zones
+        self.zone_pools: dict[str, Pool] = {}  # by zone; replace `local` and `remote` if a hook orders zones
         self.earned_weight = {**{cls.name: 1.0 for cls in settings.classes}, "": 1.0}
         self.slowness, self.latency_ms = 1.0, 0.0
         self.error_share = 0.0
--- a/client_proxy/balancer/idle_connections.py
+++ b/client_proxy/balancer/idle_connections.py
@@ -60,7 +60,7 @@
         self._consecutive_timeouts = 0
         self._last_loss_ms = 0.0
 
-    def idle_for(self, endpoint: EndpointConnection, now_ms: float) -> float | None:
+    def idle_ms_of(self, endpoint: EndpointConnection, now_ms: float) -> float | None:
         """How long the connection for the next send has been idle, in ms; None: a new or busy connection."""
         if endpoint.in_flight or endpoint.last_used_ms is None:
             return None
--- a/client_proxy/balancer/learning.py
+++ b/client_proxy/balancer/learning.py
@@ -20,7 +20,7 @@
 # Outcomes that are reported to the admission gate.
 CONGESTION_EVIDENCE = (Outcome.OK, Outcome.TIMEOUT, Outcome.REJECTED)
 ANSWERED_WITH_FAILURE = (Outcome.ERROR, Outcome.REJECTED)  # the endpoint runs, but failed the request
-# Caused by the proxy or the client, so it tells nothing about the endpoint.
+# Outcomes that the proxy or the client has caused, so they tell nothing about the endpoint.
 NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.UNUSABLE)
 
 
--- a/client_proxy/balancer/load_probe.py
+++ b/client_proxy/balancer/load_probe.py
@@ -35,7 +35,7 @@
         self._step_ms = settings.min_step_ms
         shortest_ms = min((cls.latency_objective_ms for cls in settings.classes), default=DEFAULT_DEADLINE_MS)
         self._time_budget_ms = PROBE_TIME_SHARE * shortest_ms
-        # Smoothed; an assumption until the first answer.
+        # The smoothed round-trip time of probes, in ms; an assumption until the first answer.
         self._round_trip_ms = self._time_budget_ms / (4 * MAX_PROBE_ROUNDS)
 
     def timeout_ms(self) -> float:
@@ -46,7 +46,7 @@
         """The age above which a probe's result is too old to be used."""
         return MAX_PROBE_ROUNDS * self.timeout_ms()
 
-    def worthwhile(self) -> bool:
+    def is_worthwhile(self) -> bool:
         """Whether requests should wait for load probes, given the round trips measured so far."""
         return self._allowed and MAX_PROBE_ROUNDS * self.timeout_ms() <= self._time_budget_ms
 
--- a/client_proxy/balancer/pool.py
+++ b/client_proxy/balancer/pool.py
@@ -82,7 +82,7 @@
         used: list[Endpoint] = []
         warm_count = 0
         for endpoint in self.ring:
-            if not endpoint.suspended(now_ms) and endpoint.listed.name not in self._ejected:
+            if not endpoint.is_suspended(now_ms) and endpoint.listed.name not in self._ejected:
                 used.append(endpoint)
                 warm_count += endpoint.warmed_up_share(now_ms, self._safety) >= 1
                 if warm_count == self.subset_size:
--- a/client_proxy/balancer/probing.py
+++ b/client_proxy/balancer/probing.py
@@ -39,7 +39,7 @@
 
     def try_probe(self, request: Request) -> bool:
         """Begin a round of probes; False: probes are not worthwhile, or no endpoint may be probed."""
-        return self._probe_policy.worthwhile() and self._begin_round(request)
+        return self._probe_policy.is_worthwhile() and self._begin_round(request)
 
     def _begin_round(self, request: Request) -> bool:
         pool = self._state.endpoint_set.local
@@ -68,7 +68,7 @@
                 break
             endpoint = pool.ring[random.randrange(len(pool.ring))]
             is_new = endpoint not in drawn and endpoint not in request.probed and endpoint not in tried
-            if is_new and not endpoint.suspended(now_ms) and self._guard.may_send(request, endpoint):
+            if is_new and not endpoint.is_suspended(now_ms) and self._guard.may_send(request, endpoint):
                 drawn.append(endpoint)
         return drawn
 
@@ -97,7 +97,7 @@
         if self._completion.cannot_finish_in_time(request):
             self._completion.give_up(request)
             return
-        answered = self._answered_candidates(request)
+        answered = self._find_answered_candidates(request)
         found_idle = any(not endpoint.reported_in_flight for endpoint in answered)
         if not found_idle and request.probe_rounds < MAX_PROBE_ROUNDS and self._begin_round(request):
             return
@@ -109,7 +109,7 @@
         elif not self._sender.try_send(request):
             self._queue.add(request)
 
-    def _answered_candidates(self, request: Request) -> list[Endpoint]:
+    def _find_answered_candidates(self, request: Request) -> list[Endpoint]:
         """The probed endpoints that have reported their load recently and may take the request."""
         since_ms = self._state.now_ms - self._probe_policy.max_age_ms()
         return [
--- a/client_proxy/balancer/sender.py
+++ b/client_proxy/balancer/sender.py
@@ -39,7 +39,7 @@
         """If a recovery probe is due, send despite the learned limits; the send guard still applies."""
         if request.attempts or not self._state.recovery_probe.due(self._state.now_ms):
             return False
-        endpoint = self._selection.least_loaded(request)
+        endpoint = self._selection.select_least_loaded(request)
         if endpoint is not None:
             self.send(request, endpoint)
         return endpoint is not None
@@ -127,7 +127,7 @@
     def _usable_idle_ms(self, endpoint: Endpoint) -> float | None:
         """Idle time of the connection to be used, in ms; None: new or busy. Closes one idle for too long."""
         connections, now_ms = self._state.idle_connections, self._state.now_ms
-        idle_ms = connections.idle_for(endpoint, now_ms)
+        idle_ms = connections.idle_ms_of(endpoint, now_ms)
         if idle_ms is not None and connections.exceeds_safe_idle(idle_ms, now_ms):
             self._state.actions.append(CloseIdle(endpoint.listed.name))
             return None
--- a/client_proxy/balancer/slow_start.py
+++ b/client_proxy/balancer/slow_start.py
@@ -26,14 +26,14 @@
         rate = pool.slow_start_rate(now_ms, endpoint, warmed_up_share)
         since_ms = endpoint.slow_start_credit_ms
         if since_ms is None:
-            since_ms = self._begin(now_ms, pool, endpoint, work)
+            since_ms = self._begin_credit(now_ms, pool, endpoint, work)
         # The credit is capped at half a window, which prevents bursts.
         max_credit = max(rate * self._safety.slow_start_limit_window_ms / 2, work)
         endpoint.slow_start_credit = min(max_credit, endpoint.slow_start_credit + rate * (now_ms - since_ms))
         endpoint.slow_start_credit_ms = now_ms
         return endpoint.slow_start_credit >= work
 
-    def _begin(self, now_ms: float, pool: Pool, endpoint: Endpoint, work: float) -> float:
+    def _begin_credit(self, now_ms: float, pool: Pool, endpoint: Endpoint, work: float) -> float:
         """Give an endpoint its first credit; returns the time since when further credit accrues.
 
         Without a warm endpoint some endpoint must get the first requests, so credit accrues from an earlier
--- a/client_proxy/cli/control_commands.py
+++ b/client_proxy/cli/control_commands.py
@@ -72,7 +72,7 @@
                 "limit": round(endpoint.concurrency_limit, 1),
                 "latency_ms": round(endpoint.latency_ms, 1),
                 "errors": round(endpoint.error_share, 3),
-                "paused": endpoint.suspended(balancer.now_ms),
+                "paused": endpoint.is_suspended(balancer.now_ms),
             }
             for name, endpoint in sorted(balancer.endpoint_set.endpoints.items())
         ]
--- a/client_proxy/limits/concurrency_limit.py
+++ b/client_proxy/limits/concurrency_limit.py
@@ -18,8 +18,8 @@
 from dataclasses import dataclass, replace
 from math import exp, sqrt
 
-MAX_GROWTH_SPAN_S = 0.5  # s of growth that one answer may bring: after a long silence a window must not jump
-MAX_CUT_SPAN_S = 1.0  # s of cuts that one answer may bring
+MAX_GROWTH_SPAN_S = 0.5  # s; elapsed time that one answer accounts for: no jump after a silence
+MAX_CUT_SPAN_S = 1.0  # s; longest elapsed time that one answer's cut accounts for
 MIN_SIZE_SHARE_KEPT = 0.4  # least fraction of the window that one answer's cut leaves
 # Up to this latency inflation endpoints are idle, and a window also grows in proportion to its size.
 IDLE_INFLATION = 1.2
@@ -121,7 +121,7 @@
         """
         self.size = max(self._settings.min_size, self.size * factor)
 
-    def borrowable(self, rank: float) -> float:
+    def borrowing_allowance(self, rank: float) -> float:
         """Return by how many requests a class may exceed the window.
 
         Args:
--- a/client_proxy/limits/load_shedding.py
+++ b/client_proxy/limits/load_shedding.py
@@ -228,7 +228,7 @@
         """Return whether the limit over all endpoints has room; zones have no limit of their own."""
         if zone is not None:
             return True
-        return not self.window.is_full(now_ms, self.window.borrowable(self._class_rank(context)))
+        return not self.window.is_full(now_ms, self.window.borrowing_allowance(self._class_rank(context)))
 
     def take_log_lines(self) -> Sequence[str]:
         """Return a line for each begin and end of load shedding since the last call."""
--- a/client_proxy/limits/pacing.py
+++ b/client_proxy/limits/pacing.py
@@ -100,7 +100,7 @@
     def share(self) -> float:
         """Share of the offered work that may be admitted: what was sent of it, scaled to the whole limit."""
         if (
-            self._is_open()
+            self._needs_no_credit()
             or self._recent_requests < MIN_RECENT_REQUESTS
             or not self._recent_work
             or not self._recent_request_ms
@@ -119,7 +119,7 @@
             self.size *= initial_size / self._initial_size
             self._initial_size = initial_size
 
-    def borrowable(self, rank: float) -> float:
+    def borrowing_allowance(self, rank: float) -> float:
         """Return the rounds of debt that a class may run into.
 
         Args:
@@ -127,7 +127,7 @@
         """
         return rank * BORROWED_ROUNDS
 
-    def _is_open(self) -> bool:
+    def _needs_no_credit(self) -> bool:
         """Return whether endpoints have been idle for long, so that requests need no credit."""
         since_ms = self._idle_since_ms
         return since_ms is not None and self._recorded_ms - since_ms >= IDLE_FOR_MS
@@ -169,7 +169,7 @@
         self._advance(now_ms)
         needed_ms = (REMAINING_LATENCY_SHARE * self.in_flight - borrowed) * self.usual_latency_ms
         full = self._credit_ms < needed_ms
-        if full and self._is_open():
+        if full and self._needs_no_credit():
             full = self.in_flight >= MAX_UNPACED_IN_FLIGHT + borrowed
         self._was_binding = self._was_binding or full
         return full
--- a/client_proxy/proxy/discovery.py
+++ b/client_proxy/proxy/discovery.py
@@ -23,10 +23,10 @@
 CONNECT_TIMEOUT_S = 1.5  # a connect that takes longer has failed
 RESPONSE_TIMEOUT_S = 3.5  # discovery answers a call within 3 s
 WATCH_TIMEOUT_S = 3.5  # a live watch sends an empty line every 2 s if nothing changes
-RETRY_DELAY_S = 0.5  # between two calls in push mode; else the balancer decides (`MAX_RESUBSCRIBE_MS`)
+RETRY_DELAY_S = 0.5  # s between two calls in push mode; else the balancer decides (`MAX_RESUBSCRIBE_MS`)
 NEXT_CALL_S = 1.0  # allowed for the next call's connect and response
 
-MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # one JSON message of a watch
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # largest size of one JSON message of a watch
 
 
 class EndpointWatch(asyncio.Protocol):
--- a/client_proxy/proxy/engine.py
+++ b/client_proxy/proxy/engine.py
@@ -54,7 +54,7 @@
 BALANCER_MARGIN_MS = 15.0
 GUARD_MARGIN_MS = 8.0
 CLIENT_RETRY_DEADLINES = 2.0  # longest deadlines for which requests are remembered to detect client retries
-BALANCER_RESTART_DELAY_S = 0.1  # between a failure in the balancer and its restart
+BALANCER_RESTART_DELAY_S = 0.1  # s between a failure in the balancer and its restart
 TIMER_RECHECK_S = 0.001  # delay of a timer that the loop ran too early
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
@@ -111,7 +111,7 @@
         self._last_id = 0
         self._events: list[Event] = []
         self._scheduled = False
-        self._incarnation = 0  # of the balancer; timers of earlier balancers are ignored
+        self._incarnation = 0  # number of the balancer here; timers of earlier balancers are ignored
         self._operators = operators
         self._client_retries = self._make_client_retries(predecessor)
         self._successor: InFlightHandover | None = None  # counts attempts in flight here at the active engine
@@ -222,7 +222,7 @@
             self._answer_without_balancer(pending, 500)
         self._incarnation += 1
         self.balancer = self._new_balancer()
-        self._events.clear()  # they concern requests of the old balancer
+        self._events.clear()  # the queued events concern requests of the old balancer
         # After a delay: a balancer that fails on each restart would keep the whole process busy.
         asyncio.get_running_loop().call_later(
             BALANCER_RESTART_DELAY_S, self._replay_endpoints, self._incarnation
--- a/client_proxy/proxy/listener.py
+++ b/client_proxy/proxy/listener.py
@@ -22,8 +22,8 @@
 # complete; also the time for a client to read its last response. Clients send requests at once, so a
 # connection without a complete request by then is closed.
 REQUEST_TIMEOUT_MS = 2000.0
-SWEEP_S = 0.25  # between two checks for timed-out connections
-CLOSE_TIMEOUT_S = 0.5  # in a shutdown: for clients to close their sides once all requests are answered
+SWEEP_S = 0.25  # s between two checks for timed-out connections
+CLOSE_TIMEOUT_S = 0.5  # s for clients to close their sides in a shutdown, once all requests are answered
 TURNS_TO_READ = 3  # loop iterations that accept and read what the kernel has queued
 
 
--- a/client_proxy/proxy/messages.py
+++ b/client_proxy/proxy/messages.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-MAX_BODY_BYTES = 64 * 1024  # of a request or a response
+MAX_BODY_BYTES = 64 * 1024  # largest body of a request or a response
 
 # Hop-by-hop headers (RFC 9110, 7.6.1), and Content-Length, which the proxy writes itself.
 HOP_BY_HOP = frozenset(
--- a/client_proxy/proxy/upstream_connection.py
+++ b/client_proxy/proxy/upstream_connection.py
@@ -16,7 +16,7 @@
 from client_proxy.proxy.messages import MAX_BODY_BYTES, Headers, UpstreamResponse
 from client_proxy.proxy.upstream_attempt import UpstreamAttempt
 
-MAX_HEADER_BYTES = 32 * 1024  # of a response, interim responses included
+MAX_HEADER_BYTES = 32 * 1024  # most header bytes of a response, interim responses included
 
 
 @dataclass(slots=True, eq=False)
--- a/client_proxy/rates.py
+++ b/client_proxy/rates.py
@@ -7,7 +7,7 @@
 from client_proxy.api.settings import Safety
 
 SMOOTHING = 0.2  # weight of a new sample in exponential smoothing: about the last ten samples count
-MAX_DOUBLINGS = 16  # of a pause; avoids overflow
+MAX_DOUBLINGS = 16  # a pause is doubled at most this often, which avoids an overflow
 
 
 class WorkRate:
--- a/client_proxy/recovery_probe.py
+++ b/client_proxy/recovery_probe.py
@@ -16,7 +16,7 @@
 
     def __init__(self) -> None:
         self._unsent_requests = 0
-        self._since_ms = 0.0  # when the first of these requests arrived
+        self._since_ms = 0.0  # when the first of the counted requests arrived
 
     def request_arrived(self, now_ms: float) -> None:
         """Record the arrival of a request."""
--- a/client_proxy/routing/locality/spillover.py
+++ b/client_proxy/routing/locality/spillover.py
@@ -17,7 +17,7 @@
 
 SPILLOVER_HALF_LIFE_MS = 5000.0  # ms; half-life of the count of recent spillover
 BALANCE_GAIN = 0.8  # a second; change of the kept share per unit of excess latency inflation of the own zone
-MAX_BALANCE_STEP_S = 0.5  # s of change that one step may bring
+MAX_BALANCE_STEP_S = 0.5  # s; longest elapsed time that one step accounts for
 MAX_BALANCE_UP, MAX_BALANCE_DOWN = 1.0, -0.5  # bounds of the excess inflation used by one step
 MIN_WEIGHT = 0.001  # avoids a division by zero
 
--- a/client_proxy/routing/locality/zone_state.py
+++ b/client_proxy/routing/locality/zone_state.py
@@ -43,7 +43,7 @@
 
     listed: ListedEndpoint
     peak_concurrency: float = 0.0  # most requests executed at once while it answered in time; decays
-    service_time_ms: float = 0.0  # smoothed
+    service_time_ms: float = 0.0  # ms; smoothed time in which it executes a request
     measured_ms: float = 0.0  # when the last load report was measured
     consecutive_unanswered: int = 0
 
@@ -81,7 +81,7 @@
     own_rate: PeakRate = field(default_factory=PeakRate)
     spillover_limit: RateLimit = field(default_factory=lambda: RateLimit(1.0))
     recovery_limit: RateLimit = field(default_factory=RateLimit)
-    consecutive_unanswered: int = 0  # over all of its endpoints
+    consecutive_unanswered: int = 0  # attempts without an answer in a row, over all of its endpoints
     is_unresponsive: bool = False  # it is unavailable because it doesn't answer, not for lack of endpoints
     loss_share: float = 0.0  # smoothed share of attempts without an answer
     ramp_share: float = 1.0  # share of its capacity that it gets while it recovers
@@ -93,7 +93,7 @@
     spillover_count: int = 0  # requests that this instance has sent to it as spillover
     recent_spillover: float = 0.0  # recent spillover relative to its weight, as of `spillover_ms`
     spillover_ms: float = 0.0  # when the last spillover was sent
-    remembered_capacity_per_s: float = 0.0  # of the whole zone, from before an outage
+    remembered_capacity_per_s: float = 0.0  # capacity of the whole zone before an outage
 
     def move_to(self, state: ZoneState, now_ms: float, reason: str) -> None:
         """Enter a state.
--- a/client_proxy/warm_state/in_flight_handover.py
+++ b/client_proxy/warm_state/in_flight_handover.py
@@ -68,7 +68,8 @@
         endpoint = self._find(name, started_ms)
         if endpoint is None:
             return
-        # Not below zero: a server that was missing from the list of one version started at zero there.
+        # The count stays at zero or above: a server that was missing from the list of one version started at
+        # zero there.
         endpoint.in_flight = max(0, endpoint.in_flight - 1)
         if outcome in ANSWERED:
             endpoint.awaiting_since_ms = self._balancer.now_ms
--- a/client_proxy/warm_state/restore.py
+++ b/client_proxy/warm_state/restore.py
@@ -19,8 +19,8 @@
     confidence,
 )
 
-START_TOLERANCE_MS = 500.0  # between two readings of one start time, as clocks may be corrected in between
-MIN_LIMIT, MIN_SLOWNESS = 1.0, 0.01  # requests; latency relative to the usual one
+START_TOLERANCE_MS = 500.0  # ms; largest difference of two readings of one start time: clocks are corrected
+MIN_LIMIT, MIN_SLOWNESS = 1.0, 0.01  # least restored limit, in requests, and least restored slowness
 SERVED_CONFIDENCE = 0.5  # confidence above which a class that a server had served still counts as served
 
 
--- a/tests/balancer/test_key_order_and_attempt_limit.py
+++ b/tests/balancer/test_key_order_and_attempt_limit.py
@@ -157,13 +157,13 @@
         assert limiter.allows(now_ms)
 
 
-def driver_with_attempt_limit(limit: AttemptLimit) -> Driver:
+def make_driver_with_attempt_limit(limit: AttemptLimit) -> Driver:
     return Driver(replace(SETTINGS, safety=replace(SETTINGS.safety, attempts=limit)))
 
 
 def test_attempt_limit_prevents_a_retry_without_withdrawing_tokens() -> None:
     """A full retry budget alone would permit more retries in a window than the attempt limit does."""
-    driver = driver_with_attempt_limit(AttemptLimit(window_ms=5000, share=0, free=1))
+    driver = make_driver_with_attempt_limit(AttemptLimit(window_ms=5000, share=0, free=1))
     first, _ = driver.request()
     driver.end(first, Outcome.ERROR)
     driver.wait(301)
@@ -175,7 +175,7 @@
 
 
 def test_of_two_pending_retries_within_a_limit_of_one_the_unsent_one_is_refunded() -> None:
-    driver = driver_with_attempt_limit(AttemptLimit(window_ms=5000, share=0, free=1))
+    driver = make_driver_with_attempt_limit(AttemptLimit(window_ms=5000, share=0, free=1))
     both = [driver.request()[0], driver.request()[0]]
     for request in both:
         driver.end(request, Outcome.ERROR)
@@ -194,7 +194,7 @@
 
 
 def test_attempt_limit_counts_every_arrival_and_starts_with_none() -> None:
-    driver = driver_with_attempt_limit(AttemptLimit(window_ms=5000, share=0.5, free=0))
+    driver = make_driver_with_attempt_limit(AttemptLimit(window_ms=5000, share=0.5, free=0))
     request, _ = driver.request()
     assert driver.end(request, Outcome.ERROR) == [Fail(request)]
     driver.request(deadline_ms=driver.now_ms - 1)  # rejected at once
--- a/tests/balancer/test_large_fleets.py
+++ b/tests/balancer/test_large_fleets.py
@@ -175,4 +175,4 @@
         driver.wait(500)
         driver.end(request, Outcome.TIMEOUT, 500)
         server = driver.balancer.endpoint_set.endpoints[driver.sent[request][0]]
-        assert server.suspended(driver.now_ms) == paused
+        assert server.is_suspended(driver.now_ms) == paused
--- a/tests/balancer/test_load_probe.py
+++ b/tests/balancer/test_load_probe.py
@@ -18,7 +18,7 @@
 FLEET = [endpoint(f"s{i}") for i in range(6)]
 
 
-def probing_driver(settings: Settings = PROBE_SETTINGS) -> Driver:
+def make_probing_driver(settings: Settings = PROBE_SETTINGS) -> Driver:
     driver = Driver(settings, FLEET)
     for _ in range(20):  # lets the balancer learn the round-trip time
         driver.handle_events(ProbeEnded("s0", Outcome.OK, 1.0, (0.0, 0.0)))
@@ -37,7 +37,7 @@
 
 def test_idle_server_of_the_two_drawn_gets_the_request_at_once() -> None:
     """With hundreds of proxies, the own requests in flight tell almost nothing about a server's load."""
-    driver = probing_driver()
+    driver = make_probing_driver()
     request, actions = driver.request()
     one, two = probed_servers(actions)
     assert driver.sent == {}
@@ -47,7 +47,7 @@
 
 
 def test_while_all_probed_servers_are_busy_more_are_probed_and_the_best_is_used() -> None:
-    driver = probing_driver()
+    driver = make_probing_driver()
     request, actions = driver.request()
     probed: list[str] = []
     while names := probed_servers(actions):
@@ -61,7 +61,7 @@
 
 def test_probe_answer_without_a_report_counts_as_busy() -> None:
     """Servers may stop reporting while they are busy; taken for idle, they would attract all requests."""
-    driver = probing_driver()
+    driver = make_probing_driver()
     request, actions = driver.request()
     one, two = probed_servers(actions)
     report_load(driver, one, None)
@@ -70,7 +70,7 @@
 
 
 def test_lost_probes_do_not_block_the_request() -> None:
-    driver = probing_driver()
+    driver = make_probing_driver()
     request, _ = driver.request()
     driver.wait(40)
     assert len(driver.sent[request]) == 1
@@ -91,7 +91,7 @@
 
 
 def test_client_that_disconnects_during_probes_gets_nothing_more() -> None:
-    driver = probing_driver()
+    driver = make_probing_driver()
     request, actions = driver.request()
     driver.handle_events(ClientDisconnected(request))
     for name in probed_servers(actions):
@@ -102,7 +102,7 @@
 
 def test_request_with_almost_no_time_left_is_rejected_unsent() -> None:
     """A request probed for beyond its deadline would be answered too late."""
-    driver = probing_driver()
+    driver = make_probing_driver()
     request, actions = driver.request(deadline_ms=driver.now_ms + 0.8)
     assert actions == [Reject(request)]
     request, actions = driver.request(deadline_ms=driver.now_ms + 64)
@@ -118,14 +118,14 @@
         replace(PROBE_SETTINGS, limits=replace(PROBE_SETTINGS.limits, probes=False)),
     ):
         assert not probed_servers(Driver(settings, FLEET).request()[1])
-    slow = probing_driver()
+    slow = make_probing_driver()
     for _ in range(20):
         slow.handle_events(ProbeEnded("s0", Outcome.OK, 90.0, (0.0, 0.0)))
     assert not probed_servers(slow.request()[1])
 
 
 def test_send_guard_applies_to_a_retry_after_a_probe() -> None:
-    driver = probing_driver()
+    driver = make_probing_driver()
     request, actions = driver.request("unsafe")
     report_load(driver, probed_servers(actions)[0], 0)
     sent = driver.sent[request]
--- a/tests/balancer/test_mechanism.py
+++ b/tests/balancer/test_mechanism.py
@@ -216,8 +216,8 @@
 
 
 def test_one_error_among_good_answers_neither_pauses_nor_throttles() -> None:
-    # Corrupted answers occur at any server; when each halved the concurrency limit, healthy servers were
-    # throttled.
+    # Corrupted answers occur at any server. If each of them halved the concurrency limit, healthy servers
+    # would be throttled.
     driver = Driver(endpoints=[endpoint("only")])
     only = driver.balancer.endpoint_set.endpoints["only"]
     for _ in range(20):
@@ -225,7 +225,7 @@
         request, _ = driver.request("unsafe")
         driver.end(request, Outcome.ERROR)
         assert only.concurrency_limit >= 4
-        assert not only.suspended(driver.now_ms)
+        assert not only.is_suspended(driver.now_ms)
     assert only.class_statistics["unsafe"].earned_weight < 1  # the errors still lower its payoff
 
 
@@ -238,11 +238,11 @@
     only = driver.balancer.endpoint_set.endpoints["only"]
     driver.serve(3, "unsafe")
     for _ in range(3):
-        assert not only.suspended(driver.now_ms)
+        assert not only.is_suspended(driver.now_ms)
         driver.wait(1)
         request, _ = driver.request("unsafe")
         driver.end(request, outcome)
-    assert only.suspended(driver.now_ms)
+    assert only.is_suspended(driver.now_ms)
     assert only.concurrency_limit < 4
 
 
@@ -254,7 +254,7 @@
         request, _ = driver.request("unsafe")
         driver.wait(50)
         driver.end(request, Outcome.OK if number % 5 else Outcome.RESET)
-        assert not any(server.suspended(driver.now_ms) for server in servers)
+        assert not any(server.is_suspended(driver.now_ms) for server in servers)
     assert all(server.concurrency_limit >= 4 for server in servers)
 
 
@@ -269,13 +269,13 @@
         driver.end(lost, Outcome.TIMEOUT, 450.0)
     assert only.concurrency_limit >= 4
     assert only.saturation < 1
-    assert not only.suspended(driver.now_ms)
+    assert not only.is_suspended(driver.now_ms)
     assert only.class_statistics["unsafe"].earned_weight < 1
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.REJECTED])
 def test_server_that_fails_one_class_still_serves_the_others(outcome: Outcome) -> None:
-    # When such failures counted against the whole server, all classes were driven to the few other servers.
+    # If such failures counted against the whole server, all classes would be sent to the few other servers.
     driver = Driver(endpoints=[endpoint("half"), endpoint("whole")])
     half = driver.balancer.endpoint_set.endpoints["half"]
     for _ in range(40):
@@ -284,7 +284,7 @@
         driver.end(request, outcome if driver.sent[request] == ["half"] else Outcome.OK)
     assert half.class_statistics["safe"].earned_weight > 0.9
     assert half.concurrency_limit >= 4
-    assert not half.suspended(driver.now_ms)
+    assert not half.is_suspended(driver.now_ms)
     to_half = [request for request, to in driver.sent.items() if to == ["half"]]
     assert len([r for r in to_half if r % 3]) >= 30  # of 80 safe ones
     assert 1 <= len([r for r in to_half if r % 3 == 0]) <= 10  # of 40 unsafe ones
--- a/tests/balancer/test_send_guard.py
+++ b/tests/balancer/test_send_guard.py
@@ -10,7 +10,7 @@
 from tests.driver import KEYED, SAFE, SETTINGS, UNSAFE, Driver, delta, endpoint
 
 
-def driver_with_scope(scope: IdempotencyScope) -> Driver:
+def make_driver_with_scope(scope: IdempotencyScope) -> Driver:
     cls = replace(KEYED, idempotency_scope=scope)
     servers = [
         endpoint("a0", "a", 0),
@@ -29,7 +29,7 @@
     groups = {"a0": "a0", "a0'": "a0", "a1": "a1", "b0": "b2", "b1": "b3"}
     retries = 0
     for seed in range(40):
-        driver = driver_with_scope(scope)
+        driver = make_driver_with_scope(scope)
         driver.balancer.random.seed(seed)
         request, _ = driver.request("keyed")
         driver.end(request, Outcome.ERROR)
@@ -41,7 +41,7 @@
 
 
 def test_no_retry_with_idempotency_key_after_the_window() -> None:
-    driver = driver_with_scope(IdempotencyScope.ALL)
+    driver = make_driver_with_scope(IdempotencyScope.ALL)
     request, _ = driver.request("keyed")
     driver.wait(750)  # after its backoff, a retry would be sent after the window of 800 ms
     assert driver.end(request, Outcome.ERROR) == [Fail(request)]
@@ -50,7 +50,7 @@
 def test_request_with_idempotency_key_that_was_never_executed_may_go_to_any_group() -> None:
     zones = set()
     for seed in range(40):
-        driver = driver_with_scope(IdempotencyScope.ZONE)
+        driver = make_driver_with_scope(IdempotencyScope.ZONE)
         driver.balancer.random.seed(seed)
         request, _ = driver.request("keyed")
         driver.end(request, Outcome.REJECTED)
@@ -60,7 +60,7 @@
 
 
 def test_request_with_idempotency_key_that_may_have_been_executed_is_never_rejected() -> None:
-    driver = driver_with_scope(IdempotencyScope.ZONE)
+    driver = make_driver_with_scope(IdempotencyScope.ZONE)
     driver.balancer.retry_budget.tokens = 0
     request, _ = driver.request("keyed")
     assert driver.end(request, Outcome.TIMEOUT) == [Fail(request)]
--- a/tests/limits/test_trial_attempts.py
+++ b/tests/limits/test_trial_attempts.py
@@ -68,20 +68,20 @@
 REJECTION = ScriptedResult(Outcome.REJECTED, 2.0, (30.0, 28.0, 9.0))
 
 
-def slow_endpoints(fleet: Fleet, random: Random) -> ScriptedResult:
+def answer_slowly(fleet: Fleet, random: Random) -> ScriptedResult:
     return ScriptedResult(Outcome.OK, 0.45 * fleet.deadline_ms, (30.0, 28.0, 400.0))
 
 
-def silent(fleet: Fleet, random: Random) -> ScriptedResult:
+def never_answer(fleet: Fleet, random: Random) -> ScriptedResult:
     return ScriptedResult(Outcome.TIMEOUT)
 
 
-def rejecting(fleet: Fleet, random: Random) -> ScriptedResult:
+def reject_all(fleet: Fleet, random: Random) -> ScriptedResult:
     return REJECTION
 
 
-def mixed(fleet: Fleet, random: Random) -> ScriptedResult:
-    return random.choice((REJECTION, ScriptedResult(Outcome.TIMEOUT), slow_endpoints(fleet, random)))
+def reject_or_answer_slowly(fleet: Fleet, random: Random) -> ScriptedResult:
+    return random.choice((REJECTION, ScriptedResult(Outcome.TIMEOUT), answer_slowly(fleet, random)))
 
 
 EndpointBehavior = Callable[[Fleet, Random], ScriptedResult]
@@ -154,15 +154,16 @@
 @pytest.mark.parametrize(
     ("servers", "fleet"),
     [
-        # Without recovery probes, each case but `rejecting` had gaps of more than four seconds, up to 6.8.
-        (slow_endpoints, Fleet(proxies=200, servers=12, deadline_ms=3000.0)),
-        (slow_endpoints, Fleet(proxies=300, servers=3, deadline_ms=1000.0)),
-        (slow_endpoints, Fleet(proxies=300, servers=3, deadline_ms=3000.0, reports=False)),
-        (slow_endpoints, Fleet(proxies=200, servers=1, deadline_ms=1000.0, reports=False)),
-        (mixed, Fleet(proxies=300, servers=3, deadline_ms=3000.0)),
-        (mixed, Fleet(proxies=3, servers=1, deadline_ms=3000.0)),
-        (silent, Fleet(proxies=200, servers=1, deadline_ms=3000.0)),
-        (rejecting, Fleet(proxies=200, servers=130, deadline_ms=1000.0)),
+        # Recovery probes keep the gaps short. Without them, each case but the one with `reject_all` has gaps
+        # of more than four seconds, up to 6.8.
+        (answer_slowly, Fleet(proxies=200, servers=12, deadline_ms=3000.0)),
+        (answer_slowly, Fleet(proxies=300, servers=3, deadline_ms=1000.0)),
+        (answer_slowly, Fleet(proxies=300, servers=3, deadline_ms=3000.0, reports=False)),
+        (answer_slowly, Fleet(proxies=200, servers=1, deadline_ms=1000.0, reports=False)),
+        (reject_or_answer_slowly, Fleet(proxies=300, servers=3, deadline_ms=3000.0)),
+        (reject_or_answer_slowly, Fleet(proxies=3, servers=1, deadline_ms=3000.0)),
+        (never_answer, Fleet(proxies=200, servers=1, deadline_ms=3000.0)),
+        (reject_all, Fleet(proxies=200, servers=130, deadline_ms=1000.0)),
     ],
 )
 def test_own_limits_never_stop_all_attempts_for_long(servers: EndpointBehavior, fleet: Fleet) -> None:
@@ -173,7 +174,7 @@
 @pytest.mark.parametrize("fleet", [Fleet(200, 1, 3000.0, reports=False), Fleet(300, 3, 3000.0)])
 def test_probes_do_not_keep_limits_low_after_endpoints_have_recovered(fleet: Fleet) -> None:
     # A fast answer to a probe must not count as one of ten at a slow endpoint, and cut the limit once more.
-    run = run_scenario(fleet, slow_endpoints)
+    run = run_scenario(fleet, answer_slowly)
     last_ms = HEALTHY_MS + FAULT_MS + 0.6 * RECOVERED_MS
     attempts, arrivals = (
         sum(each >= last_ms for each in times) for times in (run.attempts_ms, run.arrivals_ms)
@@ -205,7 +206,8 @@
 
 
 def test_few_rejected_requests_cause_no_probe() -> None:
-    # Otherwise each of hundreds of proxies with a request every few seconds would send all of them as probes.
+    # If few requests were enough, each of hundreds of proxies with a request every few seconds would send all
+    # of its requests as probes.
     (first_ms,) = attempt_times_with_closed_limit(endpoint("s"), every_ms=2000.0, length_ms=10_000.0)
     assert first_ms == (RECOVERY_PROBE_REQUESTS - 1) * 2000.0
 
@@ -213,7 +215,8 @@
 def test_a_probe_respects_draining_and_slow_start() -> None:
     draining = endpoint("s", state=EndpointState.DRAINING)
     assert not attempt_times_with_closed_limit(draining, every_ms=100.0, length_ms=8000.0)
-    # It has just started, and the share of one of hundreds of proxies is far less than one request.
+    # This server has just started; the share that each of hundreds of proxies may send it is far less than
+    # one request.
     cold = make_driver(Fleet(proxies=300, servers=1, deadline_ms=1000.0), endpoint("cold", started_ms=1000.0))
     (server,) = cold.balancer.endpoint_set.endpoints.values()
     server.slow_start_credit_ms, server.slow_start_credit = cold.now_ms, 0.0
--- a/tests/outlier/test_ejection_hook.py
+++ b/tests/outlier/test_ejection_hook.py
@@ -175,7 +175,7 @@
     assert 5 <= early_count <= 40
 
 
-def test_settings_faults_are_named_with_line_and_key() -> None:
+def test_settings_errors_name_file_and_key() -> None:
     assert parse_operators("[reach]\n", "f").reach == OutlierSettings()
     for text, key in (
         ("[reach]\ntrial_s = 0", "trial_s"),
--- a/tests/proxy/sockets.py
+++ b/tests/proxy/sockets.py
@@ -27,11 +27,11 @@
 from client_proxy.settings import read_settings
 
 Json = dict[str, Any]
-TEST_TIMEOUT_S = 60.0  # of one test, and of one wait in it
+TEST_TIMEOUT_S = 60.0  # s; longest duration of one test, and of one wait in it
 KEYED_CLASS, UNSAFE_CLASS = "extract-issue", "entry-register"
 
 
-_processes: list[asyncio.subprocess.Process] = []  # started by the current test
+_processes: list[asyncio.subprocess.Process] = []  # processes that the current test has started
 
 
 async def start_process(*command: str, **options: Any) -> asyncio.subprocess.Process:
--- a/tests/proxy/test_before_the_write.py
+++ b/tests/proxy/test_before_the_write.py
@@ -57,22 +57,22 @@
 
 @pytest.mark.parametrize(("dial_ms", "repeated"), [(0.0, True), (WINDOW_MS, False)])
 def test_retry_is_written_only_within_the_deduplication_window(dial_ms: float, repeated: bool) -> None:
-    # A retry decided 929 ms after the first attempt, and written 1089 ms after it, ran a second time: the
-    # deduplication window was 1000 ms.
+    # The deduplication window must hold at the write: with a window of 1000 ms, a retry decided 929 ms after
+    # the first attempt and written 1089 ms after it would run a second time.
     ahead_s = 0.0
 
     def advance_clock() -> None:
         nonlocal ahead_s
         ahead_s += dial_ms / 1000.0
 
-    async def broken(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_error(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         if hosts[0].received and hosts[1].received:
             writer.write(http_response(200, b"second"))
             return
         run_during_dials(proxies[0], advance_clock)
         writer.write(http_response(500))
 
-    hosts = [Host("a", broken), Host("b", broken)]
+    hosts = [Host("a", answer_error), Host("b", answer_error)]
     proxies: list[Proxy] = []
 
     async def test() -> None:
@@ -93,7 +93,7 @@
 def test_nothing_is_written_for_a_client_that_left_during_the_dial(
     cls: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The disconnect is known to the kernel, but not yet read, when the dial completes.
+    # When the dial completes, the kernel knows of the client's disconnect, but the loop has not read it yet.
     original_connection_made = UpstreamConnection.connection_made
 
     def close_client_once_connected(self: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
@@ -123,15 +123,17 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_pipelined_requests_of_a_disconnected_client_are_dropped_while_reading_is_paused(reset: bool) -> None:
-    # With many pipelined requests reading is paused, so the disconnect after them is not read. Each request
-    # was sent once the previous one was answered, although its client had left.
-    async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    # With many pipelined requests reading is paused, so the disconnect after them is not read. Even so, the
+    # remaining requests must not be sent once their client has left.
+    async def answer_when_released(
+        host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await release.wait()
         writer.write(http_response(200))
 
     async def test() -> None:
         release.clear()
-        host = Host("h", held)
+        host = Host("h", answer_when_released)
         async with proxy(host, settings=settings_without_timeouts()) as p:
             encode_request = Client(None, None).encode_request  # type: ignore[arg-type]
             client = socket.create_connection(("127.0.0.1", p.port))
@@ -159,12 +161,12 @@
 def test_disconnect_in_the_loop_iteration_of_a_decision_leaves_no_state(
     when: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The retry was decided after its request had been removed, and counted as in flight forever.
-    async def broken(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    # A retry that is decided after its request has been removed must not count as in flight forever.
+    async def answer_error(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(http_response(500))
 
     async def test() -> None:
-        host = Host("h", broken)
+        host = Host("h", answer_error)
         async with proxy(host, settings=settings_without_timeouts()) as p:
             post = p.engine.post
             left: list[Event] = []
@@ -208,7 +210,7 @@
         await until(lambda: bool(ended))
         assert (ended[0].outcome, host.received, answers) == (Outcome.NOT_SENT, [], [])
         assert (await run_attempt(pool, "h")).outcome is Outcome.OK
-        # On an idle connection it is checked once, and the connection stays idle.
+        # On an idle connection the permission is checked once, and the connection stays idle.
         attempt = pool.start_attempt(request(), "h", 5000.0, ended.append, lambda: False)
         assert attempt is not None
         assert attempt.ended
--- a/tests/proxy/test_dials.py
+++ b/tests/proxy/test_dials.py
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("turns", range(6))
 def test_dial_cancelled_while_its_transport_is_created(turns: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    # The slot was released twice, so the pool counted fewer open descriptors than there were.
+    # The slot must be released once: released twice, it makes the pool count fewer descriptors than are open.
     scheduler = Scheduler()
     loop = scheduler.new_loop("proxy")
     network = MemoryNetwork(loop)
--- a/tests/proxy/test_discovery.py
+++ b/tests/proxy/test_discovery.py
@@ -41,7 +41,7 @@
 A, B = Host("a", port=1), Host("b", port=2)
 
 
-def test_complete_list_then_changes() -> None:
+def test_changes_are_applied_to_the_complete_list() -> None:
     async def test() -> None:
         registry = await Registry().start()
         recorder = DiscoveryRecorder(registry)
@@ -58,7 +58,7 @@
     run(test())
 
 
-def test_chunks_that_do_not_end_on_lines() -> None:
+def test_chunks_that_split_lines_are_joined() -> None:
     async def test() -> None:
         registry = await Registry().start()
         recorder = DiscoveryRecorder(registry)
@@ -148,7 +148,8 @@
 
 
 def test_no_call_after_stop(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A call scheduled after a failure ran after the stop, and a move opened a further watch.
+    # After the stop, a call that was scheduled after a failure must not run, and a move must not open another
+    # watch.
     monkeypatch.setattr(module, "RETRY_DELAY_S", 0.0)
 
     async def test() -> None:
@@ -157,7 +158,7 @@
         recorder = DiscoveryRecorder(registry, balancer_subscribes=False)
         recorder.discovery.start()
         await until(lambda: len(registry.watches) == 1)
-        recorder.discovery._watch.close("lost")  # type: ignore[union-attr]  # the next call is scheduled for now
+        recorder.discovery._watch.close("lost")  # type: ignore[union-attr]  # the next call is due at once
         recorder.discovery.stop()
         recorder.discovery.subscribe()
         recorder.discovery.move(("127.0.0.1", elsewhere.port))
@@ -203,7 +204,8 @@
 @pytest.mark.parametrize("change", ["draining", "gone"])
 @pytest.mark.parametrize("when", ["before the move", "after the move"])
 def test_change_at_the_old_service_around_a_move_is_applied(when: str, change: str) -> None:
-    # A change written before the move, but not yet read, counts as notified; it was lost with the old watch.
+    # A change that the old service has written before the move counts as notified, also if the proxy has not
+    # read it yet. It must not be lost with the old watch.
     async def test() -> None:
         registry, elsewhere = await Registry().start(), await Registry().start()
         recorder = DiscoveryRecorder(registry)
--- a/tests/proxy/test_forms.py
+++ b/tests/proxy/test_forms.py
@@ -49,7 +49,9 @@
     return "".join(f"{line}\r\n" for line in head).encode("latin-1") + b"\r\n" + body
 
 
-def keyed(number: int, *lines: str, body: bytes = BODY, target: str = "", with_ids: bool = True) -> bytes:
+def encode_keyed_request(
+    number: int, *lines: str, body: bytes = BODY, target: str = "", with_ids: bool = True
+) -> bytes:
     target = target or f"/{KEYED_CLASS}/7f3a?n={number}"
     return encode_request(number, f"POST {target} HTTP/1.1", *lines, body=body, with_ids=with_ids)
 
@@ -57,54 +59,68 @@
 LENGTH = f"Content-Length: {len(BODY)}"
 
 
-def forms() -> Iterator[tuple[str, bytes]]:
+def list_forms() -> Iterator[tuple[str, bytes]]:
     """Yield pairs of a name and a keyed request with trace id `t1`, key `KEY` and body `BODY`."""
-    yield "as shown", keyed(1, LENGTH, "Host: app.svc")
+    yield "as shown", encode_keyed_request(1, LENGTH, "Host: app.svc")
     yield (
         "names in lower case",
-        keyed(1, LENGTH).lower().replace(b"post", b"POST").replace(b"http/", b"HTTP/"),
+        encode_keyed_request(1, LENGTH).lower().replace(b"post", b"POST").replace(b"http/", b"HTTP/"),
     )
     yield (
         "names in upper case",
-        keyed(1, f"X-TRACE-ID: t1\r\nIDEMPOTENCY-KEY: {KEY}\r\nCONTENT-LENGTH: 4", with_ids=False),
+        encode_keyed_request(
+            1, f"X-TRACE-ID: t1\r\nIDEMPOTENCY-KEY: {KEY}\r\nCONTENT-LENGTH: 4", with_ids=False
+        ),
     )
     yield (
         "no space before values",
-        keyed(1, f"X-Trace-Id:t1\r\nIdempotency-Key:{KEY}\r\n{LENGTH}", with_ids=False),
+        encode_keyed_request(1, f"X-Trace-Id:t1\r\nIdempotency-Key:{KEY}\r\n{LENGTH}", with_ids=False),
     )
     yield (
         "spaces and tabs round values",
-        keyed(
+        encode_keyed_request(
             1, f"X-Trace-Id: \t t1 \t\r\nIdempotency-Key:\t{KEY}  \r\nContent-Length:   4 ", with_ids=False
         ),
     )
     yield (
         "in another order",
-        keyed(1, f"{LENGTH}\r\nIdempotency-Key: {KEY}\r\nX-Trace-Id: t1", with_ids=False),
+        encode_keyed_request(1, f"{LENGTH}\r\nIdempotency-Key: {KEY}\r\nX-Trace-Id: t1", with_ids=False),
     )
-    yield "after empty lines", b"\r\n\r\n" + keyed(1, LENGTH)
-    yield "with zeros before the length", keyed(1, "Content-Length: 0004")
-    yield "with empty headers", keyed(1, LENGTH, "X-Empty:", "X-Blank:   ")
+    yield "after empty lines", b"\r\n\r\n" + encode_keyed_request(1, LENGTH)
+    yield "with zeros before the length", encode_keyed_request(1, "Content-Length: 0004")
+    yield "with empty headers", encode_keyed_request(1, LENGTH, "X-Empty:", "X-Blank:   ")
     yield (
         "with the further figures",
-        keyed(1, LENGTH, "X-Props: a=1,b=2.5", "X-Size-Hint: 900", "X-Customer: c"),
+        encode_keyed_request(1, LENGTH, "X-Props: a=1,b=2.5", "X-Size-Hint: 900", "X-Customer: c"),
+    )
+    yield "kept alive by word", encode_keyed_request(1, LENGTH, "Connection: Keep-Alive")
+    yield (
+        "with headers of the connection",
+        encode_keyed_request(1, LENGTH, "Connection: keep-alive, X-Hop", "X-Hop: 1"),
+    )
+    yield (
+        "its own names for the connection",
+        encode_keyed_request(1, LENGTH, "Connection: X-Trace-Id, Idempotency-Key"),
+    )
+    yield (
+        "in chunks",
+        encode_keyed_request(1, "Transfer-Encoding: chunked", body=b"2\r\nfo\r\n2\r\nrm\r\n0\r\n\r\n"),
     )
-    yield "kept alive by word", keyed(1, LENGTH, "Connection: Keep-Alive")
-    yield "with headers of the connection", keyed(1, LENGTH, "Connection: keep-alive, X-Hop", "X-Hop: 1")
-    yield "its own names for the connection", keyed(1, LENGTH, "Connection: X-Trace-Id, Idempotency-Key")
-    yield "in chunks", keyed(1, "Transfer-Encoding: chunked", body=b"2\r\nfo\r\n2\r\nrm\r\n0\r\n\r\n")
     yield (
         "in chunks with extensions and a trailer",
-        keyed(
+        encode_keyed_request(
             1,
             "transfer-encoding:  Chunked ",
             body=b'0001;a="b"\r\nf\r\n3\r\norm\r\n000\r\nX-Trace-Id: other\r\nX-Late: 1\r\n\r\n',
         ),
     )
-    yield "to a whole URL", keyed(1, LENGTH, "Host: app.svc", target=f"http://app.svc/{KEYED_CLASS}/7f3a?n=1")
+    yield (
+        "to a whole URL",
+        encode_keyed_request(1, LENGTH, "Host: app.svc", target=f"http://app.svc/{KEYED_CLASS}/7f3a?n=1"),
+    )
 
 
-FORMS = dict(forms())
+FORMS = dict(list_forms())
 
 
 @pytest.mark.parametrize("piece", [1, 7, 100_000])
@@ -127,7 +143,9 @@
             client = await Client.connect(p.port)
             await send_in_pieces(client, FORMS[form], piece)
             assert (await client.answer())[0] == 200
-            await send_in_pieces(client, keyed(2, LENGTH), piece)  # the connection serves another request
+            await send_in_pieces(
+                client, encode_keyed_request(2, LENGTH), piece
+            )  # the connection serves another request
             assert (await client.answer())[0] == 200
             first, second = host.received
             assert first.line == f"POST /{KEYED_CLASS}/7f3a?n=1 HTTP/1.1"
@@ -168,7 +186,7 @@
         async with proxy(*hosts, settings=settings_without_timeouts()) as p:
             client = await Client.connect(p.port)
             data = b"".join(request_of_each_kind(number) for number in range(count))
-            data += keyed(count, LENGTH, "Connection: close") if close else b""
+            data += encode_keyed_request(count, LENGTH, "Connection: close") if close else b""
             sending = asyncio.create_task(send_in_pieces(client, data, piece))
             await until(lambda: len(order) == drained_at < sum(len(host.received) for host in hosts))
             busy, idle = sorted(hosts, key=lambda host: len(host.received) == order.count(host.name))
@@ -199,7 +217,7 @@
     if number % 3 == 0:
         return encode_request(number, f"GET /{SAFE_CLASS}/7f3a HTTP/1.1", body=b"")
     if number % 3 == 1:
-        return keyed(number, LENGTH)
+        return encode_keyed_request(number, LENGTH)
     return encode_request(
         number, f"POST /{UNSAFE_CLASS} HTTP/1.1", "Transfer-Encoding: chunked", body=b"4\r\nform\r\n0\r\n\r\n"
     )
@@ -217,5 +235,5 @@
         (b"*", b"*"),
     ],
 )
-def test_origin_form_of_a_target(target: bytes, path: bytes) -> None:
+def test_target_is_converted_to_its_origin_form(target: bytes, path: bytes) -> None:
     assert origin_form(target) == path
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -32,7 +32,7 @@
 )
 
 
-async def silent(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+async def never_answer(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     pass
 
 
@@ -72,14 +72,14 @@
         async with proxy(host) as p:
             client = await Client.connect(p.port)
 
-            async def ready() -> int:
+            async def read_readiness() -> int:
                 client.writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
                 return (await client.answer())[0]
 
-            assert await ready() == 200
+            assert await read_readiness() == 200
             p.registry.send_chunk(p.registry.change(entry(host, "gone")))
             await until(lambda: not p.directory.usable())
-            assert await ready() == 503
+            assert await read_readiness() == 503
             client.close()
 
     run(test())
@@ -88,7 +88,7 @@
 def test_final_response_precedes_the_deadline() -> None:
     # The client leaves at its deadline, so an attempt still in flight is ended and answered shortly before.
     async def test() -> None:
-        host = Host("h", silent)
+        host = Host("h", never_answer)
         async with proxy(host) as p:
             client = await Client.connect(p.port)
             status, _, _ = await client.ask(expires_ms=2000)
@@ -110,7 +110,7 @@
     monkeypatch.setattr(Balancer, "handle", drop_other_actions)
 
     async def test() -> None:
-        host = Host("h", silent)
+        host = Host("h", never_answer)
         async with proxy(host) as p:
             for allowed_now, expected in ({"Send"}, (502, 504)), (set[str](), (503,)):
                 allowed.clear()
@@ -128,7 +128,7 @@
 
 def test_client_disconnect_cancels_its_attempts() -> None:
     async def test() -> None:
-        host = Host("h", silent)
+        host = Host("h", never_answer)
         # Deadlines so long that nothing else ends the request.
         settings = settings_json()
         for cls in settings["categories"]:
@@ -192,7 +192,7 @@
     (encode_head(UNSAFE_CLASS, "Content-Length: -4"), 400),
     (encode_head(UNSAFE_CLASS, "Content-Length: 99999999999999999999999999"), 400),
     (encode_head(UNSAFE_CLASS, "Content-Length: 60000000"), 413),  # rejected at once, before the body
-    # The proxy might use one of them, and the endpoint the other.
+    # Of two headers with one name, the proxy might use one and the endpoint the other.
     (encode_head(UNSAFE_CLASS, "X-Trace-Id: other", "Content-Length: 0"), 400),
     (encode_head(UNSAFE_CLASS, "X-Expires-In-Ms: 5", "X-Expires-In-Ms: 50", "Content-Length: 0"), 400),
     (encode_head(UNSAFE_CLASS, "X-Expires-In-Ms: 1_0", "Content-Length: 0"), 400),
@@ -206,7 +206,7 @@
 
 @pytest.mark.parametrize(("data", "status"), MALFORMED_REQUESTS)
 def test_malformed_requests_are_answered_and_closed(data: bytes, status: int) -> None:
-    # None of them may be answered 503, end the process, or reach an endpoint.
+    # No malformed request may be answered 503, end the process, or reach an endpoint.
     async def test() -> None:
         host = Host("h")
         async with proxy(host) as p:
@@ -237,7 +237,7 @@
 )
 @pytest.mark.parametrize("first", [False, True])
 def test_incomplete_request_times_out(sent: bytes, first: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Silent connections, and incomplete heads and bodies, stayed open forever.
+    # Without the timeout, silent connections and incomplete heads and bodies would stay open forever.
     if not first and not sent.strip():
         pytest.skip("an idle connection between requests does not time out here")
     monkeypatch.setattr(listener, "REQUEST_TIMEOUT_MS", 50.0)
@@ -279,12 +279,14 @@
     # Endpoints would treat the second request as a duplicate of the first.
     release = asyncio.Event()
 
-    async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_when_released(
+        host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await release.wait()
         writer.write(http_response(200))
 
     async def test() -> None:
-        host = Host("h", held)
+        host = Host("h", answer_when_released)
         async with proxy(host) as p:
             client, other = await Client.connect(p.port), await Client.connect(p.port)
             client.send(X_Trace_Id="a1")
@@ -306,7 +308,7 @@
         cls["aim_ms"] = cls["deadline_ms"] = 1000.0
 
     async def test() -> None:
-        host = Host("h", silent)
+        host = Host("h", never_answer)
         async with proxy(host, settings=settings) as p:
             client = await Client.connect(p.port)
             assert (await client.ask(expires_ms=999_999_999))[0] == 502
@@ -317,11 +319,11 @@
 
 
 def test_unusable_request_is_not_retried_and_does_not_affect_the_endpoint() -> None:
-    async def unusable(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_unusable(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(http_response(400))
 
     async def test() -> None:
-        hosts = Host("h", unusable), Host("g", unusable)
+        hosts = Host("h", answer_unusable), Host("g", answer_unusable)
         async with proxy(*hosts) as p:
             client = await Client.connect(p.port)
             for number in range(8):
@@ -336,7 +338,7 @@
 
 
 def test_at_the_limit_silent_connections_are_closed_first() -> None:
-    # Silent connections counted as busy, and connections of active clients were closed instead.
+    # Silent connections must not count as busy: connections of active clients would be closed instead.
     async def test() -> None:
         async with proxy(Host("h"), max_connections=3) as p:
             active_client = await Client.connect(p.port)
@@ -353,7 +355,8 @@
 
 
 def test_responses_close_connections_while_too_many_are_idle() -> None:
-    # A client process may hold a limited number of connections. Idle ones kept open left none for others.
+    # A client process may hold a limited number of connections. If too many idle ones stayed open, none would
+    # be left for further requests.
     async def test() -> None:
         async with proxy(Host("h"), max_idle=3) as p:
             clients = [await Client.connect(p.port) for _ in range(6)]
@@ -370,7 +373,7 @@
 
 def test_connections_beyond_the_headroom_are_closed_at_once() -> None:
     async def test() -> None:
-        async with proxy(Host("h", silent), max_connections=1) as p:
+        async with proxy(Host("h", never_answer), max_connections=1) as p:
             clients: list[Client] = []
             for _ in range(1 + connection_limits.CONNECTION_HEADROOM):
                 clients.append(await Client.connect(p.port))
@@ -414,7 +417,7 @@
     run(test())
 
 
-def test_request_in_single_bytes() -> None:
+def test_request_that_arrives_in_single_bytes_is_answered() -> None:
     async def test() -> None:
         async with proxy(Host("h")) as p:
             client = await Client.connect(p.port)
@@ -448,7 +451,7 @@
     monkeypatch.setattr(Balancer, "handle", handle)
 
     async def test() -> None:
-        host = Host("h", silent)
+        host = Host("h", never_answer)
         async with proxy(host) as p:
             first, second = await Client.connect(p.port), await Client.connect(p.port)
             first.send()
@@ -469,11 +472,11 @@
 
 
 def test_client_that_does_not_read_gets_no_further_responses() -> None:
-    async def large(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_large(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(http_response(200, b"x" * 65536))
 
     async def test() -> None:
-        host = Host("h", large)
+        host = Host("h", answer_large)
         async with proxy(host) as p:
             client = await Client.connect(p.port)
             transport = cast(asyncio.Transport, client.writer.transport)
@@ -511,14 +514,16 @@
 
 def test_shutdown_serves_new_connections_and_finishes_pending_requests() -> None:
     # In a planned restart clients still connect for a while; all accepted requests are answered.
-    async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_when_released(
+        host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await release.wait()
         writer.write(http_response(200, b"late"))
 
     release = asyncio.Event()
 
     async def test() -> None:
-        hosts = Host("h", held), Host("g", held)
+        hosts = Host("h", answer_when_released), Host("g", answer_when_released)
         async with proxy(*hosts) as p:
             pending_client, idle = await Client.connect(p.port), await Client.connect(p.port)
             pending_client.send()
@@ -569,12 +574,14 @@
     # All connections are busy, so none can be closed now, and further ones would be dropped unanswered.
     release = asyncio.Event()
 
-    async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_when_released(
+        host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await release.wait()
         writer.write(http_response(200))
 
     async def test() -> None:
-        hosts = [Host(name, held) for name in "abc"]
+        hosts = [Host(name, answer_when_released) for name in "abc"]
         async with proxy(*hosts, max_connections=2) as p:
             clients: list[Client] = []
             for number in range(1, 4):
--- a/tests/proxy/test_idle_connections.py
+++ b/tests/proxy/test_idle_connections.py
@@ -10,7 +10,7 @@
 IDLE = replace(SETTINGS, limits=replace(SETTINGS.limits, connection_idle_timeout_ms=30_000.0))
 
 
-def warmed_driver() -> Driver:
+def make_warmed_driver() -> Driver:
     driver = Driver(IDLE, [endpoint("s1")])
     driver.serve(40)
     return driver
@@ -30,7 +30,7 @@
 
 def test_connection_idle_as_long_as_a_lost_one_is_closed_before_the_send() -> None:
     """Risk: a request on a connection that was dropped while idle is reset or never answered."""
-    driver = warmed_driver()
+    driver = make_warmed_driver()
     driver.wait(2000)
     request, actions = driver.request("unsafe")
     assert not closes_idle(actions)
@@ -49,7 +49,7 @@
 
 def test_two_timeouts_in_a_row_count_as_a_lost_connection() -> None:
     for success_between, expected in ((False, True), (True, False)):
-        driver = warmed_driver()
+        driver = make_warmed_driver()
         for _ in range(2):
             driver.wait(2000)
             request, _ = driver.request("unsafe")
@@ -65,7 +65,7 @@
 
 
 def test_late_reset_counts_against_the_endpoint() -> None:
-    driver = warmed_driver()
+    driver = make_warmed_driver()
     driver.wait(2000)
     request, _ = driver.request("unsafe")
     driver.end(request, Outcome.RESET, 300.0)
@@ -75,7 +75,7 @@
 
 
 def test_lost_connections_are_forgotten_after_a_while() -> None:
-    driver = warmed_driver()
+    driver = make_warmed_driver()
     driver.wait(2000)
     request, _ = driver.request("unsafe")
     driver.end(request, Outcome.RESET, 1.0)
@@ -89,7 +89,7 @@
 
 
 def test_no_close_after_the_proxy_s_own_idle_timeout() -> None:
-    driver = warmed_driver()
+    driver = make_warmed_driver()
     driver.wait(2000)
     request, _ = driver.request("unsafe")
     driver.end(request, Outcome.RESET, 1.0)
@@ -100,7 +100,7 @@
 
 def test_failed_connect_stops_closing_idle_connections() -> None:
     """Risk: where new connections fail, closing idle ones gives up the few that work."""
-    driver = warmed_driver()
+    driver = make_warmed_driver()
     driver.wait(2000)
     request, _ = driver.request("unsafe")
     driver.end(request, Outcome.RESET, 1.0)
@@ -114,7 +114,7 @@
 
 def test_timeout_under_load_is_not_a_lost_connection() -> None:
     """Risk: under load many responses are late, and closing connections would add handshakes to the load."""
-    driver = warmed_driver()
+    driver = make_warmed_driver()
     for _ in range(2):
         driver.wait(2000)
         server = driver.balancer.endpoint_set.endpoints["s1"]
@@ -127,7 +127,7 @@
 
 def test_random_resets_do_not_close_idle_connections() -> None:
     """Risk: all connections would soon be closed before use, and each new one costs a handshake."""
-    driver = warmed_driver()
+    driver = make_warmed_driver()
     for _ in range(10):
         for _ in range(4):
             driver.wait(1000)
--- a/tests/proxy/test_lingering.py
+++ b/tests/proxy/test_lingering.py
@@ -124,14 +124,16 @@
 
 def test_unread_request_is_answered_before_the_connection_closes() -> None:
     # Over the limit each response closes its connection, unless a complete request has already arrived.
-    async def held(host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_when_released(
+        host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await release.wait()
         writer.write(http_response(200, received_request.body))
 
     release = asyncio.Event()
 
     async def test() -> None:
-        async with proxy(Host("h", held), max_idle=0) as p:
+        async with proxy(Host("h", answer_when_released), max_idle=0) as p:
             client = await Client.connect(p.port)
             client.send(body=b"one")
             await until(lambda: p.engine.pending_count == 1)
@@ -191,7 +193,7 @@
 
 
 def test_half_closed_connections_count_towards_the_limit() -> None:
-    # Half-closed connections were not counted; kept open by their clients, they used up the descriptors.
+    # Not counted, half-closed connections that their clients keep open would use up the descriptors.
     async def test() -> None:
         async with proxy(Host("h"), max_connections=2) as p:
             kept = []
@@ -224,12 +226,14 @@
 
 
 def test_unfinished_requests_are_answered_at_the_end_of_the_shutdown() -> None:
-    # The process ended with a pending and an incomplete request; neither client got a response.
-    async def silent(host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    # When the process ends, a pending and an incomplete request must both get a response.
+    async def never_answer(
+        host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         pass
 
     async def test() -> None:
-        host = Host("h", silent)
+        host = Host("h", never_answer)
         async with proxy(host, settings=settings_without_timeouts()) as p:
             pending_client, incomplete_client = await Client.connect(p.port), await Client.connect(p.port)
             pending_client.send(expires_ms=600_000)
@@ -250,18 +254,20 @@
 
 
 def test_pipelined_requests_are_answered_at_the_end_of_the_shutdown() -> None:
-    # Failure: pipelined requests got no response from a restarting proxy, although a server had received one.
-    # Cause: a response closes its connection only if no request is pipelined behind it. At the end of the
-    # shutdown the current request was answered, the next one was sent to a server, and SIGKILL came before
-    # its deadline. Trace of the soak with seed 43 beside five busy processes, in seconds after SIGTERM, with
-    # a longest deadline of 1.07 s:
+    # At the end of the shutdown no further pipelined request may be sent to a server. A response closes its
+    # connection only if no request is pipelined behind it, so the next request would be sent, and SIGKILL
+    # would come before its deadline: it would get no response although a server has received it. Trace of
+    # such a loss in the soak with seed 43 beside five busy processes, in seconds after SIGTERM, with a
+    # longest deadline of 1.07 s:
     #     1.490 requests 6 and 7 are pipelined; 1.620 request 4 is answered 502, request 5 is answered 503
     #     1.625 request 6 is sent to a server; 1.772 SIGKILL; requests 6, 7 and 8 have no response
-    async def silent(host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def never_answer(
+        host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         pass
 
     async def test() -> None:
-        host = Host("h", silent)
+        host = Host("h", never_answer)
         async with proxy(host, settings=settings_without_timeouts()) as p:
             client = await Client.connect(p.port)
             for _ in range(MAX_PIPELINED_REQUESTS + 8):
@@ -281,14 +287,16 @@
 
 
 def test_client_that_reads_no_responses_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
-    # With pipelined requests the connection counted as busy forever, and kept its descriptor.
+    # A connection with pipelined requests must not count as busy forever: it would keep its descriptor.
     monkeypatch.setattr(listener, "REQUEST_TIMEOUT_MS", 50.0)
 
-    async def large(host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_large(
+        host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         writer.write(http_response(200, b"x" * 64 * 1024))
 
     async def test() -> None:
-        async with proxy(Host("h", large), settings=settings_without_timeouts()) as p:
+        async with proxy(Host("h", answer_large), settings=settings_without_timeouts()) as p:
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect(("127.0.0.1", p.port))
@@ -304,17 +312,19 @@
 
 
 def test_pipelined_bytes_of_all_clients_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Each client may pipeline a full buffer; some hundreds of clients exhausted the memory.
+    # Each client may pipeline a full buffer; without a bound, some hundreds of clients exhaust the memory.
     monkeypatch.setattr(connection_limits, "MAX_PIPELINED_BYTES", 200_000)
 
-    async def held(host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_when_released(
+        host: Host, received_request: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await release.wait()
         writer.write(http_response(200))
 
     release = asyncio.Event()
 
     async def test() -> None:
-        async with proxy(Host("h", held), settings=settings_without_timeouts()) as p:
+        async with proxy(Host("h", answer_when_released), settings=settings_without_timeouts()) as p:
             clients = [await Client.connect(p.port) for _ in range(8)]
             for client in clients:
                 for _ in range(31):
--- a/tests/proxy/test_long_list_processes.py
+++ b/tests/proxy/test_long_list_processes.py
@@ -44,7 +44,7 @@
     return process, sockets(process.pid, LISTEN)[0][1]
 
 
-async def calls(port: int, number: int) -> Counter[int]:
+async def make_calls(port: int, number: int) -> Counter[int]:
     """Run one client with sequential calls; returns the number of responses by status."""
     statuses: Counter[int] = Counter()
     client = await Client.connect(port)
@@ -55,13 +55,13 @@
     return statuses
 
 
-async def phase(ports: list[int]) -> Counter[int]:
+async def run_phase(ports: list[int]) -> Counter[int]:
     """Run all clients of all daemons; returns the number of responses by status."""
-    results = await asyncio.gather(*(calls(port, n) for port in ports for n in range(CLIENTS)))
+    results = await asyncio.gather(*(make_calls(port, n) for port in ports for n in range(CLIENTS)))
     return sum(results, Counter[int]())
 
 
-def test_failing_servers_in_a_list_longer_than_the_connection_limit(tmp_path: Path) -> None:
+def test_calls_are_answered_with_a_list_longer_than_the_connection_limit(tmp_path: Path) -> None:
     async def test() -> None:
         hosts = [await Host(f"s{n:03d}").start() for n in range(SERVERS)]
         server_ports = {host.port for host in hosts}
@@ -81,20 +81,20 @@
                     for process, _ in daemons
                 )
 
-            # At the connection limit each dial failed, and a quarter of the calls was rejected.
-            assert await phase(ports) == {200: total_calls}
+            # Dials at the connection limit must not fail: a quarter of the calls would be rejected.
+            assert await run_phase(ports) == {200: total_calls}
             assert max_server_connections() <= connection_quota(SOCKETS).upstream_connections
             dials = sum(host.connections for host in hosts)
-            assert await phase(ports) == {200: total_calls}
+            assert await run_phase(ports) == {200: total_calls}
             assert sum(host.connections for host in hosts) - dials < 0.1 * total_calls
             for host in hosts[:FAILING]:
                 host.stop()
-            answers = await phase(ports)
+            answers = await run_phase(ports)
             assert sum(answers.values()) == total_calls
             assert answers[200] > 0.9 * total_calls
             for host in hosts[:FAILING]:
                 await host.start()
-            assert await phase(ports) == {200: total_calls}
+            assert await run_phase(ports) == {200: total_calls}
             assert max_server_connections() <= connection_quota(SOCKETS).upstream_connections
             for process, _ in daemons:
                 process.terminate()
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(("text", "address"), [("10.0.0.4:81", ("10.0.0.4", 81)), ("[::1]:5", ("::1", 5))])
-def test_addresses(text: str, address: tuple[str, int]) -> None:
+def test_addresses_are_read_as_host_and_port(text: str, address: tuple[str, int]) -> None:
     assert read_address(text) == address
 
 
@@ -79,7 +79,7 @@
         {"limits": []},
     ],
 )
-def test_unusable_configuration(tmp_path: Path, changes: Json) -> None:
+def test_unusable_configuration_is_refused_on_one_line(tmp_path: Path, changes: Json) -> None:
     if changes == {"limits": []}:
         # An empty value means the default.
         assert load_config(write_config(tmp_path, **changes)).sockets == 1024
@@ -89,18 +89,18 @@
     assert "\n" not in str(caught.value)
 
 
-def paths(value: Any, prefix: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
+def list_paths(value: Any, prefix: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
     """Yield the paths of all nested values."""
     inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for key, each in inner:
         yield (*prefix, key)
-        yield from paths(each, (*prefix, key))
+        yield from list_paths(each, (*prefix, key))
 
 
 @pytest.mark.parametrize("bad", ["x", [], {}, -1, 0, 1e400, float("nan"), 1e18, True], ids=repr)
 def test_bad_value_is_accepted_or_reported_with_its_key(bad: Any) -> None:
-    # The error "'<' not supported between instances of 'str' and 'int'" did not name which of eighty settings
-    # was wrong.
+    # The error must name the key. A bare "'<' not supported between instances of 'str' and 'int'" doesn't say
+    # which of eighty settings is wrong.
     config: Json = {
         "name": "n3",
         "listen": "127.0.0.1:0",
@@ -121,7 +121,7 @@
         "peers": ["127.0.0.1:3"],
     }
     rejected = 0
-    for path_in_config in paths(config):
+    for path_in_config in list_paths(config):
         changed = copy.deepcopy(config)
         container: Any = changed
         for key in path_in_config[:-1]:
@@ -163,15 +163,15 @@
 
 
 def test_a_failing_test_leaves_no_process_behind(tmp_path: Path) -> None:
-    # A failed assertion left its proxy process running, which slowed later runs and made some fail.
+    # A failed assertion must not leave a proxy process running: it would slow later runs and make some fail.
     started: list[asyncio.subprocess.Process] = []
 
-    async def failing() -> None:
+    async def fail_after_start() -> None:
         started.append(await start(write_config(tmp_path, listen=f"127.0.0.1:{free_port()}")))
         raise AssertionError("as a test fails")
 
     with pytest.raises(AssertionError, match="as a test fails"):
-        run(failing())
+        run(fail_after_start())
     assert started[0].returncode == -signal.SIGKILL
 
 
@@ -212,12 +212,14 @@
     # The proxy is ready on the restored list alone; after SIGTERM it answers accepted requests and exits.
     release = asyncio.Event()
 
-    async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_when_released(
+        host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await release.wait()
         writer.write(http_response(200, b"done"))
 
     async def test() -> None:
-        host, registry = await Host("h", held).start(), await Registry().start()
+        host, registry = await Host("h", answer_when_released).start(), await Registry().start()
         port = free_port()
         known = {"index": 1, "snapshot": True, "endpoints": [entry(host)]}
         process = await start(
@@ -249,12 +251,14 @@
     # One request is incomplete, another is at a server, discovery is moved, and SIGTERM comes twice.
     release = asyncio.Event()
 
-    async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_when_released(
+        host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await release.wait()
         writer.write(http_response(200, b"done"))
 
     async def test() -> None:
-        hosts = [await Host(name, held).start() for name in "hg"]
+        hosts = [await Host(name, answer_when_released).start() for name in "hg"]
         registry, other = await Registry().start(), await Registry().start()
         port = free_port()
         config_changes = {
@@ -312,7 +316,8 @@
 
 
 def test_sighup_reloads_the_discovery_address(tmp_path: Path) -> None:
-    # SIGHUP ended the process. The environment can't change while the process runs, so the file overrides it.
+    # SIGHUP must not end the process. The environment can't change while the process runs, so on a reload the
+    # file overrides it.
     async def test() -> None:
         host, other = await Host("h").start(), await Host("g").start()
         old, new = await Registry().start(), await Registry().start()
--- a/tests/proxy/test_signals.py
+++ b/tests/proxy/test_signals.py
@@ -44,7 +44,7 @@
 PACKAGE = ROOT / "client_proxy"
 
 
-def running(process: asyncio.subprocess.Process) -> bool:
+def is_running(process: asyncio.subprocess.Process) -> bool:
     return process.returncode is None
 
 
@@ -53,7 +53,7 @@
 ) -> int:
     """Send a signal repeatedly until the condition holds or the process has exited; returns how often."""
     count = 0
-    while not holds() and running(process):
+    while not holds() and is_running(process):
         with suppress(ProcessLookupError):
             process.send_signal(number)
         count += 1
@@ -72,7 +72,7 @@
     """Send SIGHUP repeatedly until the process has exited; it must serve, and exit cleanly on SIGTERM."""
     answered = asyncio.create_task(first_answer(port))
     count = await send_until(process, signal.SIGHUP, answered.done)
-    assert running(process), f"ended with {process.returncode} after {count} signals"
+    assert is_running(process), f"ended with {process.returncode} after {count} signals"
     assert await answered == 200
     process.send_signal(signal.SIGTERM)
     await send_until(process, signal.SIGHUP, lambda: False)
@@ -94,7 +94,8 @@
 
 
 def test_repeated_sighup_from_the_start_of_the_run_command_is_survived(tmp_path: Path) -> None:
-    # With the deploy file's command, from the moment when the shell has replaced itself by the program.
+    # The process runs the deploy file's command. Signals are sent from the moment when the shell has replaced
+    # itself by the program.
     async def test() -> None:
         host, registry = await Host("h").start(), await Registry().start()
         port = free_port()
@@ -182,7 +183,8 @@
 
 
 def test_sighup_between_reading_the_file_and_the_loop_is_handled(tmp_path: Path) -> None:
-    # The operators' file is a pipe, so the start blocks between the two until the test writes to it.
+    # The operators' file is a pipe. The proxy has read its configuration and blocks on the pipe, before its
+    # event loop runs, until the test closes the pipe.
     async def test() -> None:
         host = await Host("h").start()
         old, new = await Registry().start(), await Registry().start()
@@ -196,8 +198,8 @@
         config(tmp_path, port, new, host)
         process.send_signal(signal.SIGHUP)
         os.close(pipe_end)
-        await until(lambda: bool(new.watches) or not running(process))
-        assert running(process)
+        await until(lambda: bool(new.watches) or not is_running(process))
+        assert is_running(process)
         assert await first_answer(port) == 200
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
@@ -242,11 +244,13 @@
 def test_sigint_loses_no_request(tmp_path: Path, numbers: tuple[signal.Signals, ...]) -> None:
     release = asyncio.Event()
 
-    async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_when_released(
+        host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await answer_after(release, writer)
 
     async def test() -> None:
-        host, registry = await Host("h", held).start(), await Registry().start()
+        host, registry = await Host("h", answer_when_released).start(), await Registry().start()
         port = free_port()
         process = await start(config(tmp_path, port, registry, host))
         idle_client = await connect_with_retry(port)
--- a/tests/proxy/test_stall.py
+++ b/tests/proxy/test_stall.py
@@ -72,9 +72,9 @@
 
 @pytest.mark.parametrize("stop_s", [0.2, 0.6, 1.2])
 def test_stall_is_detected_before_the_late_timer_runs(stop_s: float) -> None:
-    # Failure: X-Expires-In-Ms stated 8.0 s for a request that had waited 1.2 s in a stopped proxy.
-    # Cause: after SIGCONT the loop reads its sockets before it runs its timers, and only the late timer
-    # detected the stall, so requests read in that iteration counted from the read. Trace of one request:
+    # The time in a stopped proxy must count. After SIGCONT the loop reads its sockets before it runs its
+    # timers. If only the late timer detected the stall, requests read in that iteration would count from the
+    # read, and X-Expires-In-Ms would state 8.0 s for one that has waited 1.2 s. Trace of such a request:
     #     0.000 s data_received: received_ms = now, no stall known
     #     0.000 s sweep: logs a stall of 1.0 s
     clock = DrivenClock()
@@ -85,7 +85,7 @@
         began_ms = 1000.0 * clock.now_s
         assert detector.stalled_since_ms() is None
         clock.now_s += stop_s
-        # No loop iteration, so no timer has run.
+        # The loop has not run an iteration since the stall, so no timer has run.
         assert detector.stalled_since_ms() == began_ms
         assert detector.recovering() == (stop_s > STALL_S + HEARTBEAT_S)
         detector.stop()
@@ -118,7 +118,7 @@
 
 
 def test_request_completed_during_a_stall_does_not_time_out() -> None:
-    # The sweep answered 408 to a complete request before the loop had read the rest of it.
+    # The sweep must not answer 408 to a complete request because the loop has not read the rest of it yet.
     clock = DrivenClock()
 
     async def test() -> None:
--- a/tests/proxy/test_time_told.py
+++ b/tests/proxy/test_time_told.py
@@ -39,7 +39,7 @@
 
 EXPIRES_MS = 600_000
 LATE_MS = 100_000.0
-SLACK_MS = 150.0  # the kernel's times are in ticks
+SLACK_MS = 150.0  # ms; tolerance, as the kernel states times in ticks
 
 
 class AdvancedClock:
@@ -124,17 +124,20 @@
 
 @pytest.mark.parametrize("pipelined", [3, 3 * MAX_PIPELINED_REQUESTS])
 def test_pipelined_requests_expire_counted_from_their_arrival(pipelined: int) -> None:
-    # They waited in the kernel until earlier requests were answered, and then got their full deadline.
+    # Pipelined requests may wait in the kernel until earlier ones are answered. That wait must count: they
+    # must not get their full deadline afterwards.
     with advanced_clock() as clock_ahead:
 
-        async def held(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        async def answer_when_released(
+            host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             await release.wait()
             writer.write(http_response(200))
 
         release = asyncio.Event()
 
         async def test() -> None:
-            host = Host("h", held)
+            host = Host("h", answer_when_released)
             async with proxy_of(host, settings=settings_without_timeouts()) as p:
                 client = await Client.connect(p.port)
                 client.send(UNSAFE_CLASS, expires_ms=EXPIRES_MS)
@@ -188,7 +191,7 @@
 
 
 def test_stopped_process_counts_expiry_from_the_arrival(tmp_path: Path) -> None:
-    # Requests read after the stop were counted from the read.
+    # A request that is read after a stop of the process must expire counted from its arrival, not its read.
     stop_s = 1.2
 
     async def test() -> None:
--- a/tests/proxy/test_upstream.py
+++ b/tests/proxy/test_upstream.py
@@ -44,7 +44,7 @@
     return UpstreamPool(settings.limits, settings.report_fields, drain_grace_ms, connection_limit)
 
 
-def descriptors() -> int:
+def count_descriptors() -> int:
     return len(os.listdir(Path("/proc/self/fd")))
 
 
@@ -66,7 +66,8 @@
 
 
 def test_idle_connections_are_reused() -> None:
-    # Each request opened a connection: the parser's keep-alive flag was read after the parser had reset it.
+    # The parser's keep-alive flag must be read before the parser resets it: otherwise each request would open
+    # a connection.
     async def test() -> None:
         host = Host("h")
         async with proxy(host) as p:
@@ -80,11 +81,11 @@
 
 
 def test_connection_close_of_an_endpoint_is_honoured() -> None:
-    async def closing(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_and_close(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(http_response(200, b"x", Connection="close"))
 
     async def test() -> None:
-        host = Host("h", closing)
+        host = Host("h", answer_and_close)
         async with proxy(host) as p:
             client = await Client.connect(p.port)
             for _ in range(2):
@@ -117,7 +118,7 @@
         (b"", Outcome.RESET),
     ],
 )
-def test_outcomes_of_answers(reply: bytes, outcome: Outcome) -> None:
+def test_each_response_has_its_outcome(reply: bytes, outcome: Outcome) -> None:
     # A truncated or malformed response is never served; a 503 is a rejection only with the never-ran mark.
     async def answer(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(reply)
@@ -138,7 +139,7 @@
     "extra_bytes", [http_response(200, b"ok"), http_response(200, b"no"), b"\x8d\xa8noise\r\n\r\n", b"H"]
 )
 def test_complete_response_is_served_despite_bytes_after_it(extra_bytes: bytes, sent_later: bool) -> None:
-    # A parser error in the bytes after a complete response discarded the response.
+    # A parser error in the bytes after a complete response must not discard the response.
     async def answer(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         body = received.headers["x-trace-id"].encode()
         if sent_later:
@@ -178,14 +179,14 @@
     ],
 )
 def test_endless_response_is_aborted(start: bytes, piece: bytes) -> None:
-    async def endless(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_endlessly(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(start)
         while piece:
             writer.write(piece)
             await writer.drain()
 
     async def test() -> None:
-        host = Host("h", endless)
+        host = Host("h", answer_endlessly)
         assert (await attempt_at(host, timeout_ms=600_000.0)).outcome is Outcome.ERROR
         await until(lambda: host.open == 0)
 
@@ -230,11 +231,11 @@
 
 def test_silent_endpoint_times_out_and_its_connection_is_closed() -> None:
     # A late response must not be read as the response of the next request.
-    async def silent(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def never_answer(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         pass
 
     async def test() -> None:
-        host = await Host("h", silent).start()
+        host = await Host("h", never_answer).start()
         pool = make_pool()
         pool.update_endpoint("h", ("127.0.0.1", host.port), None, True)
         assert (await run_attempt(pool, "h", timeout_ms=50.0)).outcome is Outcome.TIMEOUT
@@ -244,7 +245,7 @@
     run(test())
 
 
-def full_backlog() -> tuple[object, list[object], int]:
+def listen_with_full_backlog() -> tuple[object, list[object], int]:
     """Return a listener with a full backlog, on which further connects hang, and its port."""
     import socket
 
@@ -266,21 +267,21 @@
     # A dial in progress when its attempt ends must neither leak its descriptor nor send later. The request
     # was never sent, so it is known not to have run, whichever limit ended it.
     async def test() -> None:
-        _listener, _fillers, port = full_backlog()
+        _listener, _fillers, port = listen_with_full_backlog()
         pool = make_pool(connect_timeout_ms=100.0 if ending == "connect timeout" else 600_000.0)
         pool.update_endpoint("h", ("127.0.0.1", port), None, True)
         await asyncio.sleep(0)
-        before = descriptors()
+        before = count_descriptors()
         ended: list[AttemptResult] = []
         timeout_ms = 100.0 if ending == "attempt timeout" else 600_000.0
         attempt = pool.start_attempt(request(), "h", timeout_ms, ended.append)
         assert attempt is not None
         assert attempt.dial is not None
-        await until(lambda: descriptors() > before or bool(ended))
+        await until(lambda: count_descriptors() > before or bool(ended))
         if ending == "cancel":
             attempt.cancel()
         await until(lambda: bool(ended) and attempt.dial is not None and attempt.dial.done())
-        await until(lambda: descriptors() == before)
+        await until(lambda: count_descriptors() == before)
         assert pool.open_connections == 0
         expected = Outcome.CANCELLED if ending == "cancel" else Outcome.CONNECT_FAILED
         assert ended[0].outcome is expected
@@ -290,7 +291,7 @@
 
 def test_stale_idle_connection_is_not_written_to() -> None:
     # A request on a connection that the endpoint has abandoned is reset, which fails an unsafe request.
-    # The kernel knows of it before the loop has read it.
+    # The kernel knows of the end of the connection before the loop has read it.
     async def test() -> None:
         host = Host("h")
         async with proxy(host) as p:
@@ -300,7 +301,7 @@
             assert idle.reusable()
             ended: list[AttemptResult] = []
             os.write(host.writers[0].get_extra_info("socket").fileno(), b"never asked for")
-            # In the same loop iteration.
+            # The attempt starts in the same loop iteration, before the loop can read these bytes.
             attempt = p.upstream.start_attempt(request(), "h", 5000.0, ended.append)
             assert attempt is not None
             assert attempt.dial is not None
@@ -363,7 +364,7 @@
 
 
 @pytest.mark.parametrize(("grace_ms", "starts"), [(0.0, False), (60_000.0, True)])
-def test_drain_during_the_dial(grace_ms: float, starts: bool) -> None:
+def test_request_is_written_after_a_drain_only_within_the_grace(grace_ms: float, starts: bool) -> None:
     # The send would start after the drain was notified: allowed within the grace, not after it.
     async def test() -> None:
         host = await Host("h").start()
@@ -381,11 +382,11 @@
 
 
 def test_upstream_connections_are_bounded() -> None:
-    async def silent(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def never_answer(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         pass
 
     async def test() -> None:
-        host = await Host("h", silent).start()
+        host = await Host("h", never_answer).start()
         pool = make_pool(connection_limit=3)
         pool.update_endpoint("h", ("127.0.0.1", host.port), None, True)
         ended: list[AttemptResult] = []
@@ -405,8 +406,8 @@
 def test_at_the_limit_the_longest_idle_connection_is_closed(
     make_loop: Callable[[], asyncio.AbstractEventLoop],
 ) -> None:
-    # Each dial at the limit closed an idle connection and failed nevertheless, as the descriptor is free only
-    # one loop iteration later.
+    # A dial at the limit closes an idle connection, whose descriptor is free only one loop iteration later.
+    # The dial must wait for it instead of failing.
     async def test() -> None:
         hosts = [await Host(f"h{n}").start() for n in range(5)]
         pool = make_pool(connection_limit=2)
@@ -448,7 +449,7 @@
     # Each send action starts one attempt; no lower layer retries by itself.
     first: list[str] = []
 
-    async def once_broken(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_error_once(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         first.append(host.name)
         if len(first) == 1:
             writer.transport.abort()
@@ -456,7 +457,7 @@
             writer.write(http_response(200, b"second"))
 
     async def test() -> None:
-        hosts = Host("h", once_broken), Host("g", once_broken)
+        hosts = Host("h", answer_error_once), Host("g", answer_error_once)
         async with proxy(*hosts) as p:
             client = await Client.connect(p.port)
             status, _, body = await client.ask(KEYED_CLASS)
@@ -467,11 +468,11 @@
 
 
 def test_unsafe_request_that_may_have_run_is_neither_retried_nor_rejected() -> None:
-    async def broken(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_error(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
     async def test() -> None:
-        hosts = Host("h", broken), Host("g", broken)
+        hosts = Host("h", answer_error), Host("g", answer_error)
         async with proxy(*hosts) as p:
             client = await Client.connect(p.port)
             status, _, _ = await client.ask()
--- a/tests/proxy/test_whole_lists.py
+++ b/tests/proxy/test_whole_lists.py
@@ -69,15 +69,18 @@
 
 
 def test_retry_is_not_sent_to_an_endpoint_removed_meanwhile() -> None:
-    # It answers with an error after the list: the retry goes to another endpoint, if there is one.
+    # The removed endpoint answers with an error after the list: the retry goes to another endpoint, if there
+    # is one.
     release = asyncio.Event()
 
-    async def failing(host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    async def answer_error_when_released(
+        host: Host, received: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await release.wait()
         writer.write(http_response(500))
 
     async def test() -> None:
-        removed, added = Host("a", failing), await Host("b").start()
+        removed, added = Host("a", answer_error_when_released), await Host("b").start()
         async with proxy(removed, settings=settings_without_timeouts()) as p:
             clients = [await Client.connect(p.port) for _ in range(2)]
             clients[0].send(KEYED_CLASS, expires_ms=600_000)
@@ -86,9 +89,9 @@
             await send_complete_list(p, added)
             release.set()
             assert (await clients[0].answer())[2] == b"from b"
-            # Again, without another endpoint.
+            # The same without another endpoint: the request gets no retry.
             release.clear()
-            added.answer = failing
+            added.answer = answer_error_when_released
             clients[1].send(KEYED_CLASS, expires_ms=600_000)
             await until(lambda: len(added.received) == 2)
             await reset_watch(p)
@@ -116,12 +119,12 @@
         removed = Host("a")
         async with proxy(removed, settings=settings_without_timeouts()) as p:
 
-            def during() -> None:
+            def remove_endpoint() -> None:
                 nonlocal ahead_s
                 p.engine.notify_endpoints(p.directory.apply({"index": 9, "snapshot": True, "endpoints": []}))
                 ahead_s += late_ms / 1000.0
 
-            run_during_dials(p, during)
+            run_during_dials(p, remove_endpoint)
             client = await Client.connect(p.port)
             client.send(UNSAFE_CLASS, expires_ms=600_000)
             # A request that was never sent is rejected, as a client retry is safe.
@@ -134,7 +137,8 @@
 
 
 def test_endpoint_listed_as_gone_is_removed() -> None:
-    # Its idle connections were kept, and a dial in progress was written however late it completed.
+    # The idle connections of a removed endpoint must be closed. Otherwise they would be kept, and a dial in
+    # progress would be written to however late it completes.
     async def test() -> None:
         removed, kept = Host("a"), Host("b")
         async with proxy(removed, kept) as p:
--- a/tests/routing/test_idle_timeout.py
+++ b/tests/routing/test_idle_timeout.py
@@ -241,7 +241,7 @@
     assert NO_FEATURES.connections is None
 
 
-def calm_scenario(
+def make_calm_scenario(
     proxies: int, connection_limit: int, length_s: float = 40.0, rate: float = 40.0
 ) -> Scenario:
     """A scenario without faults, at less than a tenth of the servers' capacity."""
@@ -258,7 +258,7 @@
 
 
 def test_many_instances_with_little_load_leave_connections_to_each_other() -> None:
-    scenario = calm_scenario(120, 20)
+    scenario = make_calm_scenario(120, 20)
     with_timeout = simulate(
         scenario, operators=OperatorSettings(connections=ConnectionSettings(idle_timeout_s=2.0))
     )
@@ -272,7 +272,7 @@
 
 
 def test_instances_shorten_a_stated_timeout_that_is_too_long() -> None:
-    scenario = calm_scenario(120, 20, length_s=50.0)
+    scenario = make_calm_scenario(120, 20, length_s=50.0)
     with_timeout = simulate(
         scenario, operators=OperatorSettings(connections=ConnectionSettings(idle_timeout_s=600.0))
     )
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -331,7 +331,7 @@
     assert all(router.admits(7000.0, zone, PickContext(UNSAFE)) for zone in ZONES)
 
 
-def test_weights_of_zero_and_a_server_that_changes_its_zone() -> None:
+def test_all_zones_are_used_at_weight_zero_and_a_moved_server_changes_its_zone() -> None:
     router = make_router()
     without_weight = [replace(e, weight=0.0) for e in FLEET]
     router.endpoints_listed(1.0, without_weight)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -57,7 +57,7 @@
     return code, [json.loads(line) for line in out.getvalue().splitlines()], err.getvalue()
 
 
-def test_empty_batch_and_end_of_input() -> None:
+def test_empty_batch_is_answered_and_the_end_of_input_ends_the_adapter() -> None:
     assert run('{"ts_ms":1,"n":1,"groups":[]}') == (0, [{"n": 1, "groups": []}], "")
 
 
--- a/tests/warm_state/test_restore.py
+++ b/tests/warm_state/test_restore.py
@@ -110,4 +110,4 @@
     assert 0.0 <= balancer.retry_budget.tokens <= RETRY_BUDGET_CAPACITY
     restored = balancer.endpoint_set.endpoints["s1"]
     assert 1.0 <= restored.concurrency_limit <= max(1.0, limit)
-    assert restored.suspended(driver.now_ms) == (confidence(age_ms) > 0 and paused_ms > age_ms)
+    assert restored.is_suspended(driver.now_ms) == (confidence(age_ms) > 0 and paused_ms > age_ms)
