--- a/client_proxy/balancer/pool.py
+++ b/client_proxy/balancer/pool.py
@@ -18,14 +18,14 @@
 # More proxies than this per endpoint can overload it with one request each, although each keeps its own
 # limit.
 CONGESTION_PROXIES = 10
-# Multiples of it modulo 1 are spread evenly, whichever ordinals the proxies have (Weyl sequence).
+# Multiples of this number modulo 1 are spread evenly, whichever ordinals the proxies have (Weyl sequence).
 GOLDEN_RATIO_CONJUGATE = 0.6180339887498949
 RATE_WINDOWS = 4  # number of slow-start windows over which the work sent to warm endpoints is smoothed
 # Share of the slow-start limit that an endpoint in slow start is sent, by the estimate of its capacity. With
 # the usual limit multiple of three, it is just its share of what warm endpoints get. The rest of the limit is
 # a reserve for machines slower than the mean of the fleet, and for bursts.
 SLOW_START_MARGIN = 1 / 3
-# While many endpoints warm up at once, work would queue at the warm ones while these are idle. So an endpoint
+# While many endpoints warm up at once, these could be idle while work queues at the warm ones. So an endpoint
 # in slow start that is not saturated is sent this many times as much.
 SLOW_START_RELIEF = 2.0
 MAX_SCANNED_POOL = 32  # from a larger subset candidates are drawn at random, without a scan of all endpoints
--- a/client_proxy/limits/concurrency_limit.py
+++ b/client_proxy/limits/concurrency_limit.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, replace
 from math import exp, sqrt
 
-MAX_GROWTH_SPAN_S = 0.5  # s; elapsed time that one answer accounts for: no jump after a silence
+MAX_GROWTH_SPAN_S = 0.5  # s; longest time that one answer's growth accounts for: no jump after a silence
 MAX_CUT_SPAN_S = 1.0  # s; longest elapsed time that one answer's cut accounts for
 MIN_SIZE_SHARE_KEPT = 0.4  # least fraction of the window that one answer's cut leaves
 # Up to this latency inflation endpoints are idle, and a window also grows in proportion to its size.
@@ -154,7 +154,7 @@
     def has_spare_credit(self, now_ms: float) -> bool:
         """Return whether a request may be sent that its class's share would reject.
 
-        Never for a window: its share is below 1 only while it has no room.
+        A window never allows that: its share is below 1 only while it has no room.
         """
         return False
 
--- a/client_proxy/limits/congestion.py
+++ b/client_proxy/limits/congestion.py
@@ -33,7 +33,7 @@
 UNCONGESTED_INFLATION = 1.8
 SLOWNESS_SMOOTHING = 0.1  # gain of each answer: about the last ten of an endpoint count
 MIN_EXECUTING = 0.5  # requests; least divisor of an endpoint's requests in flight
-MAX_INFLATION = 10.0  # of one endpoint: the requests that it executes are the difference of two noisy values
+MAX_INFLATION = 10.0  # most for one endpoint: what it executes is the difference of two noisy values
 TOLERATED_SLOWNESS = 2.5  # slowness over reported inflation, beyond which the report is taken to be wrong
 
 
@@ -42,8 +42,8 @@
     """The load of one endpoint by its latest answers."""
 
     recorded_ms: float
-    in_flight: float = 0.0  # requests
-    executing: float = 0.0  # requests
+    in_flight: float = 0.0  # requests at the endpoint, by its last load report
+    executing: float = 0.0  # those of them that it executes; the others are queued
     slowness: float = 1.0  # smoothed latency of its answers over the uncongested latency of their class
 
 
--- a/client_proxy/proxy/upstream_pool.py
+++ b/client_proxy/proxy/upstream_pool.py
@@ -24,7 +24,7 @@
 MIN_SWEEP_S = 0.05  # shortest time between two sweeps
 SWEEPS_PER_IDLE_TIMEOUT = 4
 # Endpoints close connections after the configured idle time, and reset a request that arrives just then. So
-# the pool closes them earlier, after this fraction of it.
+# the pool closes them earlier, after this fraction of that time.
 IDLE_TIMEOUT_FRACTION = 0.9
 # The drain grace begins when discovery writes the list, which may be earlier than the proxy reads it.
 NOTIFICATION_MARGIN_MS = 100.0
--- a/tests/balancer/test_large_fleets.py
+++ b/tests/balancer/test_large_fleets.py
@@ -60,7 +60,7 @@
 
 
 def test_slow_start_rate_is_higher_until_saturation_and_lower_for_slower_servers() -> None:
-    """While many servers warm up, they must not idle with work queued at the warm ones, nor be overloaded."""
+    """Servers that warm up must not be idle while work is queued at warm ones, nor be overloaded."""
     starting = [replace(endpoint(f"c{n}", started_ms=990), weight=w) for n, w in enumerate((1.0, 0.5, 4.0))]
     driver = Driver(MANY_PROXIES, [*FLEET, *starting])
     driver.serve(50)
@@ -121,7 +121,7 @@
 
 
 def test_request_not_admitted_by_the_gate_is_rejected_at_once() -> None:
-    """If it were rejected only after a wait, the client's retry would come too late."""
+    """If a request were rejected only after a wait, the client's retry would come too late."""
     driver = Driver(MANY_PROXIES, FLEET)
     driver.balancer.endpoint_set.local.admission_gate.share = 0.01
     request, actions = driver.request()
@@ -166,7 +166,7 @@
 
 
 def test_unanswered_time_out_pauses_a_server_only_without_congestion() -> None:
-    """A hung server rejects nothing, so a time-out pauses it; in congestion that would load the others."""
+    """A hung server rejects nothing, so a time-out pauses it. In congestion a pause would load the others."""
     for share, paused in ((1.0, True), (0.3, False)):
         driver = Driver(MANY_PROXIES, FLEET)
         driver.balancer.endpoint_set.local.admission_gate.share = share
--- a/tests/limits/test_congestion.py
+++ b/tests/limits/test_congestion.py
@@ -106,7 +106,8 @@
 
 
 def test_after_a_pause_the_first_answer_replaces_older_observations() -> None:
-    # Otherwise a fast answer counts as one of ten, and slow endpoints look slow for ten more answers.
+    # If older observations were kept, a fast answer would count as one of ten, and the endpoints would look
+    # slow for ten more answers.
     estimate = CongestionEstimate((), 5.0)
 
     def send_and_answer(now_ms: float, server: str, slowness: float) -> float:
--- a/tests/limits/test_fleet_days.py
+++ b/tests/limits/test_fleet_days.py
@@ -49,7 +49,7 @@
     estimate = CongestionEstimate(FIELDS, 5.4)
     for n in range(10):
         estimate.record_attempt(float(n), f"s{n}", Outcome.OK, 1.0, OVERLOADED if n < 2 else IDLE)
-    # The sum of requests in flight over the sum of those executed would be 3.5.
+    # Each endpoint counts alike. The sum of requests in flight over the sum of those executed would be 3.5.
     assert estimate.latency_inflation(10.0) < 2.0
 
 
@@ -122,7 +122,7 @@
     driver.handle_events(EndpointsListed(ListKind.FULL, (*FLEET, *fresh)))
     for known in driver.balancer.endpoint_set.endpoints.values():
         known.concurrency_limit = 50.0
-        # More than is used here.
+        # So much credit that slow start holds back no request of this test.
         known.slow_start_credit, known.slow_start_credit_ms = (
             1e6,
             driver.now_ms,
@@ -169,5 +169,5 @@
         outcome = Outcome.OK if is_answered else Outcome.TIMEOUT
         at_ms, server = driver.now_ms + 50.0 * (step + 1), FLEET[step % 24]
         hook.attempt_ended(at_ms, server, outcome, 1.0, is_answered, report if is_answered else None, 50.0)
-    # It may shrink a little, because it is not used.
+    # The window may shrink a little, because it is not used.
     assert min_share * before <= window_of(driver).size <= max_share * before
--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -203,7 +203,7 @@
     for number in range(3000):
         endpoints = (endpoint(f"s{number}", zone="a"), endpoint(f"s{number + 1}", zone="a"))
         driver.handle_events(EndpointsListed(ListKind.FULL, endpoints))
-        # Also a request of an unknown class.
+        # Every second request is of an unknown class.
         request, _ = driver.request(("unsafe", "nobody's")[number % 2])
         if request in driver.sent:
             outcome = (Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT)[number % 3]
--- a/tests/outlier/test_ejection.py
+++ b/tests/outlier/test_ejection.py
@@ -113,7 +113,7 @@
     for number in range(5):
         detector.attempt_ended(10_100.0 + number, f"b{number}", Outcome.TIMEOUT, 2000.0)
     for _ in range(3):
-        # Sent before the server's last response.
+        # This attempt was sent before the server's last response.
         detector.attempt_ended(10_200.0, "b0", Outcome.CONNECT_FAILED, 250.0)
     assert not detector.ejected
     for number in range(5):
@@ -131,7 +131,7 @@
     assert not detector.ejected
     detector.choose_probe(1410.0, is_idempotent=True)
     assert ejected_in(detector, "b")
-    for number in range(5):  # their timeouts don't count again
+    for number in range(5):  # the timeouts of overdue attempts don't count again
         detector.attempt_ended(3000.0 + number, f"b{number}", Outcome.TIMEOUT, 2000.0)
     assert all(not state.outstanding_ms and not state.overdue_count for state in detector._servers.values())
 
--- a/tests/outlier/test_ejection_hook.py
+++ b/tests/outlier/test_ejection_hook.py
@@ -156,7 +156,7 @@
 
 
 def test_instances_with_little_traffic_warm_up_a_new_server_together() -> None:
-    """Otherwise each instance waits until its share is a whole request, and nothing is sent for seconds."""
+    """An instance must not wait until its share is a whole request: nothing would be sent for seconds."""
     early_count = 0
     for seed in range(60):
         driver = Driver(replace(BALANCER_SETTINGS, proxies=12), FLEET[:8], seed)
@@ -165,7 +165,7 @@
         driver.handle_events(EndpointsListed(ListKind.FULL, (*FLEET[:8], new_server)))
         pool, began_ms, before = driver.balancer.endpoint_set.local, driver.now_ms, len(driver.sent)
         warming_up = driver.balancer.endpoint_set.endpoints["new"]
-        # Time until one instance alone may send a request to it.
+        # Time until one instance alone may send a request to the new server.
         saved_ms = 50.0 / pool.slow_start_rate(
             driver.now_ms, warming_up, BALANCER_SETTINGS.safety.slow_start_share
         )
--- a/tests/routing/test_connected.py
+++ b/tests/routing/test_connected.py
@@ -108,7 +108,7 @@
     for count in (120, 680):
         assert (
             dials_per_request(with_connection_limit(None), count, 60) > 0.4
-        )  # without the limit being known
+        )  # the limit is not known to the balancer
         assert dials_per_request(with_connection_limit(60), count, 60) < 0.01
 
 
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -38,9 +38,10 @@
 )
 FLEET = tuple(endpoint(f"{zone}{n}", zone=zone) for zone in ZONES for n in range(3))
 SAFE_REQUEST = PickContext(SAFE)
-# Four requests are executed, each takes 40 ms: a hundred a second.
+# Load reports: requests in flight, requests queued, and ms for which one is executed. Four requests that take
+# 40 ms each are a hundred a second.
 BUSY = (4.0, 0.0, 40.0)
-FULL = (14.0, 10.0, 40.0)  # the same, with ten queued
+FULL = (14.0, 10.0, 40.0)  # as `BUSY`, with ten requests queued in addition
 
 
 def make_router(
--- a/tests/warm_state/test_in_flight_handover.py
+++ b/tests/warm_state/test_in_flight_handover.py
@@ -34,7 +34,7 @@
     handover.sent(server, None)
     assert known.awaiting_since_ms == driver.now_ms + 900  # no attempt was in flight before
     handover.ended(server, None, Outcome.CANCELLED)
-    handover.sent(server, 77.0)  # for another start time of the server
+    handover.sent(server, 77.0)  # this attempt is for another start time of the server
     assert known.in_flight == 0
 
 
