--- a/client_proxy/proxy/connection_limits.py
+++ b/client_proxy/proxy/connection_limits.py
@@ -23,11 +23,11 @@
         self._max_idle = max_idle
         self.ending = False  # graceful shutdown: each connection is closed after its next response
         self.connections: dict[ClientConnection, ConnectionState] = {}
-        # Each with the time in ms at which it entered the state; ordered, so the first is the oldest.
+        # Connections by state, each with the time in ms at which it entered the state; the oldest is first.
         self.by_state: dict[ConnectionState, dict[ClientConnection, float]] = {
             state: {} for state in ConnectionState
         }
-        self.pipelined_bytes = 0  # of all connections: received, with the request not started yet
+        self.pipelined_bytes = 0  # bytes received for requests not started yet, over all connections
         self._changed = asyncio.Event()  # set when a connection changes its state or closes
 
     # The connections and their states
--- a/client_proxy/proxy/daemon.py
+++ b/client_proxy/proxy/daemon.py
@@ -41,19 +41,19 @@
 FINISH_MARGIN_S = 0.05
 MAX_RETIRED_ENGINES = 8  # earlier policy versions that still have pending requests
 MIN_CONNECTIONS = 12  # connections that are allowed however few descriptors there are
-UPSTREAM_QUOTA_DIVISOR = 3  # part of the descriptors for connections to endpoints
-CLIENT_QUOTA_DIVISOR = 3  # part of the descriptors that one client process may use
-IDLE_QUOTA_DIVISOR = 3  # part of one client process's connections that may be idle
-RESERVED_DESCRIPTORS = 64  # for event loop, discovery, logs and closing connections
+UPSTREAM_QUOTA_DIVISOR = 3  # one descriptor in this many is for connections to endpoints
+CLIENT_QUOTA_DIVISOR = 3  # one client process may use one descriptor in this many
+IDLE_QUOTA_DIVISOR = 3  # one in this many of a client process's connections may be idle
+RESERVED_DESCRIPTORS = 64  # descriptors kept for event loop, discovery, logs and closing connections
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionQuota:
     """Limits on the number of connections."""
 
-    upstream_connections: int  # to endpoints
-    client_connections: int
-    max_idle: int  # client connections between two requests
+    upstream_connections: int  # most connections to endpoints
+    client_connections: int  # most connections from clients
+    max_idle: int  # most client connections between two requests
 
 
 def connection_quota(sockets: int) -> ConnectionQuota:
--- a/client_proxy/proxy/engine.py
+++ b/client_proxy/proxy/engine.py
@@ -223,7 +223,7 @@
         self._incarnation += 1
         self.balancer = self._new_balancer()
         self._events.clear()  # the queued events concern requests of the old balancer
-        # After a delay: a balancer that fails on each restart would keep the whole process busy.
+        # The new balancer starts after a delay: one that fails on each restart would keep the process busy.
         asyncio.get_running_loop().call_later(
             BALANCER_RESTART_DELAY_S, self._replay_endpoints, self._incarnation
         )
@@ -253,7 +253,7 @@
     def accept(self, request: ClientRequest, response_writer: ResponseWriter) -> int:
         """Accept a complete request, and return its id.
 
-        It gets one final response through `response_writer`, unless its client disconnects.
+        The request gets one final response through `response_writer`, unless its client disconnects.
         """
         self._last_id += 1
         expires_in_ms = request.expires_in_ms
--- a/client_proxy/routing/locality/router.py
+++ b/client_proxy/routing/locality/router.py
@@ -23,7 +23,7 @@
 # Fraction of its latency objective for which a request waits for the rate limit of a recovering zone.
 LIMIT_WAIT_SHARE = 0.25
 EARLY_UNANSWERED = 2  # consecutive unanswered attempts from which on non-idempotent requests avoid a zone
-LOSS_SMOOTHING = 0.05  # gain of each attempt
+LOSS_SMOOTHING = 0.05  # gain of each attempt: about the last twenty count
 ANSWERING_OUTAGE_FACTOR = 3  # factor on the unanswered attempts needed while some endpoints seem healthy
 UNANSWERED = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED)
 NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.UNUSABLE)
@@ -243,13 +243,13 @@
         # to other zones, while requests that may be retried show whether the zone still answers.
         is_careful = self._has_single_attempt(context) and self._has_idempotent_class
 
-        def demotion(name: str) -> tuple[bool, bool, bool]:
+        def demotion_key(name: str) -> tuple[bool, bool, bool]:
             zone = zones[name]
             is_degraded = zone.loss_share > self._locality_settings.degraded_loss_share + least_loss
             is_risky = is_degraded or (is_careful and zone.consecutive_unanswered >= EARLY_UNANSWERED)
             return name in context.failed_zones, is_risky, self.is_congested(now_ms, zone)
 
-        return probes + sorted(ranked, key=demotion)
+        return probes + sorted(ranked, key=demotion_key)
 
     def _by_level(self, now_ms: float) -> list[str]:
         """Return zones by level, and in one level by this instance's recent spillover, the least first."""
