--- a/client_proxy/balancer/sender.py
+++ b/client_proxy/balancer/sender.py
@@ -39,7 +39,7 @@
         """If a recovery probe is due, send despite the learned limits; the send guard still applies."""
         if request.attempts or not self._state.recovery_probe.due(self._state.now_ms):
             return False
-        endpoint = self._selection.least_loaded(request)
+        endpoint = self._selection.select_least_loaded(request)
         if endpoint is not None:
             self.send(request, endpoint)
         return endpoint is not None
@@ -120,20 +120,20 @@
             late_after_ms = state.class_latencies[request.request_class.name].late_after_ms()
             self._timers.start_for(request, late_after_ms, self._record_late)
         request.attempts_in_flight += 1
-        self._count_in_flight(endpoint)
+        self._record_attempt_sent(endpoint)
         timeout_ms = request.useful_until_ms() - now_ms
         state.actions.append(Send(request.id, endpoint.listed.name, timeout_ms, write_by_ms))
 
     def _usable_idle_ms(self, endpoint: Endpoint) -> float | None:
         """Idle time of the connection to be used, in ms; None: new or busy. Closes one idle for too long."""
         connections, now_ms = self._state.idle_connections, self._state.now_ms
-        idle_ms = connections.idle_for(endpoint, now_ms)
+        idle_ms = connections.idle_ms_of(endpoint, now_ms)
         if idle_ms is not None and connections.exceeds_safe_idle(idle_ms, now_ms):
             self._state.actions.append(CloseIdle(endpoint.listed.name))
             return None
         return idle_ms
 
-    def _count_in_flight(self, endpoint: Endpoint) -> None:
+    def _record_attempt_sent(self, endpoint: Endpoint) -> None:
         if not endpoint.in_flight:
             endpoint.awaiting_since_ms = self._state.now_ms
         endpoint.in_flight += 1
--- a/tests/balancer/test_send_guard.py
+++ b/tests/balancer/test_send_guard.py
@@ -10,7 +10,7 @@
 from tests.driver import KEYED, SAFE, SETTINGS, UNSAFE, Driver, delta, endpoint
 
 
-def driver_with_scope(scope: IdempotencyScope) -> Driver:
+def make_driver_with_scope(scope: IdempotencyScope) -> Driver:
     cls = replace(KEYED, idempotency_scope=scope)
     servers = [
         endpoint("a0", "a", 0),
@@ -29,7 +29,7 @@
     groups = {"a0": "a0", "a0'": "a0", "a1": "a1", "b0": "b2", "b1": "b3"}
     retries = 0
     for seed in range(40):
-        driver = driver_with_scope(scope)
+        driver = make_driver_with_scope(scope)
         driver.balancer.random.seed(seed)
         request, _ = driver.request("keyed")
         driver.end(request, Outcome.ERROR)
@@ -41,7 +41,7 @@
 
 
 def test_no_retry_with_idempotency_key_after_the_window() -> None:
-    driver = driver_with_scope(IdempotencyScope.ALL)
+    driver = make_driver_with_scope(IdempotencyScope.ALL)
     request, _ = driver.request("keyed")
     driver.wait(750)  # after its backoff, a retry would be sent after the window of 800 ms
     assert driver.end(request, Outcome.ERROR) == [Fail(request)]
@@ -50,7 +50,7 @@
 def test_request_with_idempotency_key_that_was_never_executed_may_go_to_any_group() -> None:
     zones = set()
     for seed in range(40):
-        driver = driver_with_scope(IdempotencyScope.ZONE)
+        driver = make_driver_with_scope(IdempotencyScope.ZONE)
         driver.balancer.random.seed(seed)
         request, _ = driver.request("keyed")
         driver.end(request, Outcome.REJECTED)
@@ -60,7 +60,7 @@
 
 
 def test_request_with_idempotency_key_that_may_have_been_executed_is_never_rejected() -> None:
-    driver = driver_with_scope(IdempotencyScope.ZONE)
+    driver = make_driver_with_scope(IdempotencyScope.ZONE)
     driver.balancer.retry_budget.tokens = 0
     request, _ = driver.request("keyed")
     assert driver.end(request, Outcome.TIMEOUT) == [Fail(request)]
@@ -68,7 +68,9 @@
 
 def test_nothing_is_sent_to_draining_or_gone_servers() -> None:
     driver = Driver()
-    driver.tell(delta(endpoint("s1", state=EndpointState.DRAINING), endpoint("s2", state=EndpointState.GONE)))
+    driver.handle_events(
+        delta(endpoint("s1", state=EndpointState.DRAINING), endpoint("s2", state=EndpointState.GONE))
+    )
     driver.serve(20)
     assert {name for sent in driver.sent.values() for name in sent} == {"s3"}
 
@@ -89,7 +91,7 @@
 
     driver = Driver()
     send_rounds(100)
-    driver.tell(delta(endpoint("new", started_ms=driver.now_ms)))
+    driver.handle_events(delta(endpoint("new", started_ms=driver.now_ms)))
     during_slow_start = send_rounds(30)  # 3 s of the 10 s that warming up may take
     assert 0 < during_slow_start.count("new") < len(during_slow_start) / 4 * 0.6
     driver.wait(10_000)
@@ -192,7 +194,7 @@
         request_state = driver.balancer.requests[request]
         request_state.attempts[0].outcome, request_state.attempts_in_flight = Outcome.REJECTED, 0
         driver.wait(past_window)
-        driver.tell()
+        driver.handle_events()
         assert driver.balancer.guard.may_send(request_state, server)
         request_state.attempts[0].outcome = Outcome.TIMEOUT
         assert not driver.balancer.guard.may_send(request_state, server)
@@ -220,7 +222,7 @@
         for i in range(1, 41):
             driver.request()
             driver.wait(50)
-            driver.tell(AttemptEnded(i, 0, Outcome.OK, 50.0, True, report=(4.0 + queued, queued)))
+            driver.handle_events(AttemptEnded(i, 0, Outcome.OK, 50.0, True, report=(4.0 + queued, queued)))
         limit = driver.balancer.endpoint_set.endpoints["s1"].concurrency_limit
         assert (limit < 4) == shrinks
 
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -38,9 +38,10 @@
 )
 FLEET = tuple(endpoint(f"{zone}{n}", zone=zone) for zone in ZONES for n in range(3))
 SAFE_REQUEST = PickContext(SAFE)
-# Four requests are executed, each takes 40 ms: a hundred a second.
+# Load reports: requests in flight, requests queued, and ms for which one is executed. Four requests that take
+# 40 ms each are a hundred a second.
 BUSY = (4.0, 0.0, 40.0)
-FULL = (14.0, 10.0, 40.0)  # the same, with ten queued
+FULL = (14.0, 10.0, 40.0)  # as `BUSY`, with ten requests queued in addition
 
 
 def make_router(
@@ -331,7 +332,7 @@
     assert all(router.admits(7000.0, zone, PickContext(UNSAFE)) for zone in ZONES)
 
 
-def test_weights_of_zero_and_a_server_that_changes_its_zone() -> None:
+def test_all_zones_are_used_at_weight_zero_and_a_moved_server_changes_its_zone() -> None:
     router = make_router()
     without_weight = [replace(e, weight=0.0) for e in FLEET]
     router.endpoints_listed(1.0, without_weight)
@@ -463,7 +464,7 @@
     driver.balancer = Balancer(
         balancer_settings, seed, LocalityRouter(locality_settings or LocalitySettings(), balancer_settings)
     )
-    driver.tell(EndpointsListed(ListKind.RESTORED, FLEET))
+    driver.handle_events(EndpointsListed(ListKind.RESTORED, FLEET))
     for known in driver.balancer.endpoint_set.endpoints.values():
         known.concurrency_limit = 4.0
     return driver
@@ -490,7 +491,7 @@
 def test_draining_endpoints_get_nothing_whatever_the_hook_prefers() -> None:
     driver = make_driver()
     draining = [replace(e, state=EndpointState.DRAINING) if e.zone == "a" else e for e in FLEET]
-    driver.tell(EndpointsListed(ListKind.FULL, tuple(draining)))
+    driver.handle_events(EndpointsListed(ListKind.FULL, tuple(draining)))
     for _ in range(6):
         driver.request("safe")
         driver.wait(300.0)
@@ -539,9 +540,9 @@
 
 def test_state_changes_of_zones_are_logged() -> None:
     driver = make_driver()
-    driver.tell(EndpointsListed(ListKind.FULL, tuple(e for e in FLEET if e.zone != "a")))
+    driver.handle_events(EndpointsListed(ListKind.FULL, tuple(e for e in FLEET if e.zone != "a")))
     driver.serve(1)
-    driver.tell(EndpointsListed(ListKind.FULL, FLEET))
+    driver.handle_events(EndpointsListed(ListKind.FULL, FLEET))
     assert any(isinstance(action, Log) and "hall a" in action.text for action in driver.log)
 
 
