--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -205,8 +205,10 @@
 
     over("quiet", settled_s, settled_s + 5.0)
     found["members_known"] = {
-        "least": min(len(i.node.swim.members.present()) for i in town.instances if i.node is not None),
-        "most": max(len(i.node.swim.members.present()) for i in town.instances if i.node is not None),
+        "least": min(
+            len(i.node.swim.members.present_members()) for i in town.instances if i.node is not None
+        ),
+        "most": max(len(i.node.swim.members.present_members()) for i in town.instances if i.node is not None),
     }
     name = sorted(town.servers)[4]
     town.servers[name].failure_share = 1.0
--- a/client_proxy/cli/control.py
+++ b/client_proxy/cli/control.py
@@ -22,10 +22,10 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CALLERS = 16  # connections at a time
+MAX_CALLERS = 16  # connections that are served at the same time
 MAX_QUESTION_BYTES = 4096
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
-CALL_TIMEOUT_S = 5.0  # from the connection to the written answer
+CALL_TIMEOUT_S = 5.0  # s; from accepting a connection until its answer is written
 
 Json = dict[str, Any]
 CommandHandler = Callable[[Json], Json]
--- a/client_proxy/cli/control_commands.py
+++ b/client_proxy/cli/control_commands.py
@@ -38,7 +38,7 @@
         source: FileSource | None,
         consensus_source: ConsensusPolicySource | None,
     ) -> None:
-        """Makes the commands.
+        """Creates the commands of one instance.
 
         Args:
             name: The instance's name.
--- a/client_proxy/cli/instance_file.py
+++ b/client_proxy/cli/instance_file.py
@@ -24,7 +24,7 @@
     Attributes:
         path: Path of the file.
         file: Its content.
-        operators: Settings of the operators' file that it names; none is enabled without one.
+        operators: Settings in the operators' file that `file` names; without one no feature is enabled.
     """
 
     path: Path
--- a/client_proxy/cli/policy.py
+++ b/client_proxy/cli/policy.py
@@ -17,7 +17,7 @@
 FILE = click.Path(dir_okay=False, path_type=Path)
 SOCKET = click.Path(path_type=Path)
 EXIT_REFUSED = 1
-POLL_INTERVAL_S = 0.1  # between queries for the result of a change
+POLL_INTERVAL_S = 0.1  # s; between two queries for the result of a change
 RESCUE_WARNING = """\
 This makes the newest policy that is stored here the first of a new generation. Do it only when a majority
 of the seats is permanently lost. The risks:
--- a/client_proxy/cli/rollout.py
+++ b/client_proxy/cli/rollout.py
@@ -12,7 +12,7 @@
 from client_proxy.cli.asking import ask_instance
 from client_proxy.cli.policy import FILE, SOCKET, request_change, requester_options
 
-POLL_INTERVAL_S = 1.0  # between the lines of `status --follow`
+POLL_INTERVAL_S = 1.0  # s; between two lines of `status --follow`
 
 
 @click.group()
--- a/client_proxy/cli/warm_state_saver.py
+++ b/client_proxy/cli/warm_state_saver.py
@@ -12,7 +12,7 @@
 
 log = logging.getLogger(__name__)
 
-SAVE_INTERVAL_S = 10.0  # a kill loses the changes since the last save
+SAVE_INTERVAL_S = 10.0  # s; a kill loses what was learned since the last save
 
 
 class WarmStateSaver:
--- a/client_proxy/config/source.py
+++ b/client_proxy/config/source.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileStamp:
-    """Metadata of a file; if they differ, the file may have changed."""
+    """Metadata of a file; a stamp that differs from an earlier one shows that the file may have changed."""
 
     device: int
     inode: int
--- a/client_proxy/consensus/lease_holder.py
+++ b/client_proxy/consensus/lease_holder.py
@@ -107,7 +107,7 @@
         self.prepared_number = NO_VERSION
         self.rejected: dict[int, str] = {}
         self.lagging_acceptors: dict[int, int] = {}
-        self._lease_until_ms = NEVER_MS  # of the lease on `active_version`
+        self._lease_until_ms = NEVER_MS  # end of the lease on `active_version`
         self._nonce = incarnation << 32
         self._requested_ms = NEVER_MS
         self._requested_number = NO_VERSION
@@ -202,7 +202,7 @@
             case LeaseGrant():
                 return self._handle_grant(sender, message)
             case Decided() if message.version.number > self.latest.version.number + 1:
-                # It can only be proved with the acceptors of the version before it, which is unknown here.
+                # It takes the acceptors of the version before it, unknown here, to prove this version.
                 return [Send(sender, CatchUp(self.latest.version.number))]
             case Decided():
                 return self.learn(now_ms, message)
--- a/client_proxy/consensus/messages.py
+++ b/client_proxy/consensus/messages.py
@@ -14,7 +14,7 @@
 
 from client_proxy.consensus.errors import MessageDecodeError
 
-MAX_MESSAGE_BYTES = 1200  # of an encoded message; policy bodies are transferred separately, over TCP
+MAX_MESSAGE_BYTES = 1200  # bytes of an encoded message; policy bodies are transferred separately, over TCP
 MAX_ACCEPTORS = 7
 MAX_ERROR_CHARACTERS = 200
 
--- a/client_proxy/consensus/model_checker.py
+++ b/client_proxy/consensus/model_checker.py
@@ -145,32 +145,32 @@
     def steps(self) -> Iterator[Step]:
         """Yields the steps that are possible in this state, in a deterministic order."""
         model = self.model
-        yield from self._deliveries()
+        yield from self._delivery_steps()
         if self.now < model.ticks:
             yield Step(StepKind.TICK)
-        yield from self._renewals()
+        yield from self._renewal_steps()
         if self.changes < model.changes:
             yield Step(StepKind.PROPOSE)
-        yield from self._withdrawals()
-        yield from self._recoveries()
+        yield from self._withdrawal_steps()
+        yield from self._recovery_steps()
         if self.crashes < model.crashes:
             yield from (Step(StepKind.CRASH, member) for member in range(model.acceptors))
         if self.state_losses < model.state_losses:
             yield from (Step(StepKind.LOSE_STATE, member) for member in range(model.acceptors))
 
-    def _deliveries(self) -> Iterator[Step]:
+    def _delivery_steps(self) -> Iterator[Step]:
         may_duplicate = self.duplicates < self.model.duplicates
         for delivery in self.in_flight:
             yield Step(StepKind.DELIVER, delivery)
             if may_duplicate:
                 yield Step(StepKind.DUPLICATE, delivery)
 
-    def _renewals(self) -> Iterator[Step]:
+    def _renewal_steps(self) -> Iterator[Step]:
         for member in self.lease_holders:
             if self.renewals[member] < self.model.renewals:
                 yield Step(StepKind.RENEW, member)
 
-    def _withdrawals(self) -> Iterator[Step]:
+    def _withdrawal_steps(self) -> Iterator[Step]:
         if self.withdrawals >= self.model.withdrawals:
             return
         may_withdraw_late = self.model.withdraws_after_vote_request
@@ -181,7 +181,7 @@
             if proposal.phase is not Phase.REJECTED and not self._was_decided(proposal.version):
                 yield Step(StepKind.WITHDRAW, index)
 
-    def _recoveries(self) -> Iterator[Step]:
+    def _recovery_steps(self) -> Iterator[Step]:
         if self.recoveries >= self.model.recoveries:
             return
         for member, acceptor in self.acceptors.items():
--- a/client_proxy/consensus/model_search.py
+++ b/client_proxy/consensus/model_search.py
@@ -13,7 +13,7 @@
 
 Run = tuple[Step, ...]
 
-PARTITION_PROBABILITY = 0.05  # per step, of a new choice of the partitioned instances
+PARTITION_PROBABILITY = 0.05  # probability per step that the partitioned instances are drawn anew
 # Deliveries are drawn more often than other steps, as otherwise no version would ever be decided.
 DELIVERY_WEIGHT = 1.0
 STEP_WEIGHTS = {StepKind.TICK: 0.3, StepKind.RENEW: 0.3, StepKind.RECOVER: 0.3}
--- a/client_proxy/consensus/model_symmetry.py
+++ b/client_proxy/consensus/model_symmetry.py
@@ -37,7 +37,7 @@
 
 def symmetric_key(state: State) -> object:
     """Returns the key of the equivalent state in which acceptors are numbered in the order of `_rank_key`."""
-    # The last instance is the author of all changes; if it has an acceptor, this one keeps its number.
+    # The last instance is the author of all changes; if it has an acceptor, that acceptor keeps its number.
     model = state.model
     members = range(model.acceptors if model.followers else model.acceptors - 1)
     order = sorted(members, key=lambda member: (_rank_key(state, member), member))
--- a/client_proxy/consensus/node.py
+++ b/client_proxy/consensus/node.py
@@ -44,9 +44,9 @@
 from client_proxy.consensus.proposer import Chosen, Phase, Proposal
 
 VALIDATION_RETRY_MS = 300.0  # interval at which validators that have not answered are asked again
-VALIDATION_TIMEOUT_MS = 1500.0  # for answers of all validators; then the vote starts without the missing ones
-BALLOT_TIMEOUT_MS = 1200.0  # for a majority in one ballot; a random factor of 1 to 2 is applied
-RECOVERY_TIMEOUT_MS = 3000.0  # for the result of a vote; then the acceptor completes the vote itself
+VALIDATION_TIMEOUT_MS = 1500.0  # wait for all validators; the vote then starts without the missing ones
+BALLOT_TIMEOUT_MS = 1200.0  # wait for a majority in one ballot; multiplied by a random factor of 1 to 2
+RECOVERY_TIMEOUT_MS = 3000.0  # wait for the result of a vote; then the acceptor completes the vote itself
 MAX_BALLOTS = 8
 MAX_LEASE_REQUESTERS = 10_000
 MAX_CHANGE_BYTES, MAX_REQUESTER_BYTES, MAX_REASON_BYTES = 60, 60, 200
--- a/client_proxy/consensus/policy_source.py
+++ b/client_proxy/consensus/policy_source.py
@@ -215,7 +215,7 @@
         text = self._latest_body().decode()
         self._require_latest_active()
         name = self._change_name_or_default("")
-        self._transport.propose(self.rollout.started_file(text, table), name, requester, reason)
+        self._transport.propose(self.rollout.make_file_with_rollout(text, table), name, requester, reason)
         return name
 
     def order_rollout(self, order: str, requester: str, reason: str) -> str:
@@ -323,7 +323,7 @@
             raise ProposalError(f"rollout {running.name} is on: let it end, or end it by `rollout back`")
 
     def _find_version(self, number: int) -> Version | None:
-        past = self._store.past(number)
+        past = self._store.load_past(number)
         if past is not None:
             return past.version
         return self._first.version if number == self._first.version.number else None
--- a/client_proxy/consensus/store.py
+++ b/client_proxy/consensus/store.py
@@ -21,8 +21,8 @@
 from client_proxy.consensus.messages import Decided
 
 DIGEST_BYTES = 16
-MAX_DECIDED_BODIES = 20  # of decided versions, for rollbacks
-MAX_PROPOSED_BODIES = 4  # of versions that were only proposed
+MAX_DECIDED_BODIES = 20  # bodies of decided versions that are kept for rollbacks
+MAX_PROPOSED_BODIES = 4  # bodies that are kept of versions that were only proposed
 VERSIONS_PER_SEGMENT = 64
 MAX_SEGMENTS = 64
 
@@ -93,7 +93,7 @@
 
     # Decided versions by number, in segment files, for instances that lag far behind and for operators
 
-    def past(self, number: int) -> Decided | None:
+    def load_past(self, number: int) -> Decided | None:
         """Returns the decided version with this number; None if it is not stored."""
         return self._read_segment(_segment_name(number)).get(number)
 
--- a/client_proxy/consensus/transport.py
+++ b/client_proxy/consensus/transport.py
@@ -199,7 +199,7 @@
         for action in actions:
             if isinstance(action, Persist):
                 if not self._persist(action.state):
-                    break  # The remaining messages depend on it.
+                    break  # The remaining actions depend on the state that was not stored.
             else:
                 self._execute_one(action)
         self._warn_if_unrecognized()
@@ -217,7 +217,7 @@
                     self._preparing.cancel()
                 self._preparing = self._spawn(self._prepare(version))
             case SendPastVersion(to, number):
-                past = self._store.past(number)
+                past = self._store.load_past(number)
                 if past is not None:
                     self._send(Send(to, past))
             case ActivateVersion(version):
--- a/client_proxy/emulator/byzantine_reporters.py
+++ b/client_proxy/emulator/byzantine_reporters.py
@@ -16,7 +16,7 @@
 from client_proxy.membership.node import GossipNode
 
 REPORT_INTERVAL_MS = 500.0
-REPORTED_ATTEMPTS = 20  # in each false observation
+REPORTED_ATTEMPTS = 20  # attempts in each false observation
 UNLOADED_SLOWNESS = 16  # in sixteenths of the usual latency: a server without any delay by load
 EQUIVOCATION_FANOUT = 6  # members that receive the contradicting reports each time
 
--- a/client_proxy/emulator/client_connection.py
+++ b/client_proxy/emulator/client_connection.py
@@ -31,7 +31,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client.
+    """One connection from a client to its proxy.
 
     Attributes:
         open: whether the connection is established and has not ended.
@@ -119,7 +119,7 @@
         self._transport.write(request)
         return self._waiter
 
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether another request may be sent on this connection."""
         return self.open and self._keep_alive
 
--- a/client_proxy/emulator/clients.py
+++ b/client_proxy/emulator/clients.py
@@ -213,7 +213,7 @@
         return connection
 
     def _release_connection(self, connection: ClientConnection) -> None:
-        if connection.reusable():
+        if connection.is_reusable():
             self._idle.append(connection)
         else:
             connection.close()
--- a/client_proxy/emulator/compare.py
+++ b/client_proxy/emulator/compare.py
@@ -151,7 +151,7 @@
     return (root / package_name(root) / "emulator" / "__main__.py").is_file()
 
 
-def spread(values: list[float]) -> dict[str, float]:
+def summarize_spread(values: list[float]) -> dict[str, float]:
     """Return the mean, the standard deviation, the least and the greatest of some values."""
     return {
         "mean": round(fmean(values), 5),
@@ -209,9 +209,9 @@
     values_a = [float(report[name]) for report in reports_a]
     values_b = [float(report[name]) for report in reports_b]
     return {
-        "a": spread(values_a),
-        "b": spread(values_b),
-        "b_minus_a": spread([b - a for a, b in zip(values_a, values_b, strict=True)]),
+        "a": summarize_spread(values_a),
+        "b": summarize_spread(values_b),
+        "b_minus_a": summarize_spread([b - a for a, b in zip(values_a, values_b, strict=True)]),
     }
 
 
--- a/client_proxy/emulator/discovery_connection.py
+++ b/client_proxy/emulator/discovery_connection.py
@@ -47,7 +47,7 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection.
+    """One connection of a proxy to the emulated discovery.
 
     Attributes:
         proxy: the number of the proxy at its other end.
--- a/client_proxy/emulator/emulated_server.py
+++ b/client_proxy/emulator/emulated_server.py
@@ -475,7 +475,7 @@
             "frozen": self.frozen,
             "choked": self.model.congested_since_s is not None,
             "draining": self.draining,
-            "cold": self.model.cold(self.now_s),
+            "cold": self.model.is_warming_up(self.now_s),
         }
         return next((name for name, applies in states.items() if applies), "up")
 
--- a/client_proxy/emulator/fault_schedule.py
+++ b/client_proxy/emulator/fault_schedule.py
@@ -221,12 +221,12 @@
     def record(cluster: SimulatedCluster) -> None:
         deliver = cluster.deliver
 
-        def recording(destination: Address, data: bytes, source: Address) -> None:
+        def record_and_deliver(destination: Address, data: bytes, source: Address) -> None:
             if len(recorded) < MAX_REPLAYED_DATAGRAMS:
                 recorded.append((destination, data, source))
             deliver(destination, data, source)
 
-        cluster.deliver = recording  # type: ignore[method-assign]
+        cluster.deliver = record_and_deliver  # type: ignore[method-assign]
 
     def replay(cluster: SimulatedCluster) -> None:
         for destination, data, source in recorded:
--- a/client_proxy/emulator/memory_socket.py
+++ b/client_proxy/emulator/memory_socket.py
@@ -55,7 +55,7 @@
         self._peer_stream_ended = False  # the end of the peer's stream has arrived
         self._was_reset = False  # reset by the peer before a protocol was attached
 
-    # As a socket
+    # Methods of a socket
 
     def setsockopt(self, *_: Any) -> None:
         """Accept a socket option, which has no effect."""
@@ -84,7 +84,7 @@
             raise BlockingIOError(errno.EAGAIN, "no data")
         return (self._received[0] or b"")[:size]
 
-    # As a transport
+    # Methods of an asyncio transport
 
     def attach(self, loop: VirtualLoop, protocol: Any) -> MemorySocket:
         """Become the transport of `protocol`."""
--- a/client_proxy/emulator/page.py
+++ b/client_proxy/emulator/page.py
@@ -61,7 +61,7 @@
         last_sample_s = [s["samples"][-1][0] for s in report.servers.values() if s["samples"]]
         self.span_s: float = max([report.length_s, *last_sample_s])
 
-    def x(self, at_s: float) -> float:
+    def x_position(self, at_s: float) -> float:
         """Return the horizontal position of a time."""
         return LEFT + (WIDTH - LEFT - 10) * min(max(at_s, 0.0), self.span_s) / self.span_s
 
@@ -83,8 +83,10 @@
                 y -= height
                 title = f"{begin_s:g} s: {outcome} {count[outcome]}"
                 if height:
-                    width = self.x(end_s) - self.x(begin_s) - 1
-                    self.parts.append(svg_rect(self.x(begin_s), y, width, height, COLOURS[outcome], title))
+                    width = self.x_position(end_s) - self.x_position(begin_s) - 1
+                    self.parts.append(
+                        svg_rect(self.x_position(begin_s), y, width, height, COLOURS[outcome], title)
+                    )
         self.parts.append(svg_text(LEFT - 8, 30, f"{maximum} requests", "end"))
         self.parts.append(svg_text(LEFT - 8, TOP - 12, "0", "end"))
 
@@ -105,11 +107,15 @@
                 end_s = samples[position][0] if position < len(samples) else samples_of_state[-1][0]
                 if state in STATES:
                     title = f"{name} {state}, {begin_s:g} to {end_s:g} s"
-                    width = self.x(end_s) - self.x(begin_s)
-                    self.parts.append(svg_rect(self.x(begin_s), y, width, ROW - 8, STATES[state], title))
+                    width = self.x_position(end_s) - self.x_position(begin_s)
+                    self.parts.append(
+                        svg_rect(self.x_position(begin_s), y, width, ROW - 8, STATES[state], title)
+                    )
             height_limit = ROW - 12
-            held = [(self.x(s[0]), baseline - height_limit * (s[1] + s[2]) / maximum) for s in samples]
-            running = [(self.x(s[0]), baseline - height_limit * s[1] / maximum) for s in samples]
+            held = [
+                (self.x_position(s[0]), baseline - height_limit * (s[1] + s[2]) / maximum) for s in samples
+            ]
+            running = [(self.x_position(s[0]), baseline - height_limit * s[1] / maximum) for s in samples]
             self.parts += [svg_line(held, "#c75050"), svg_line(running, "#2f6f4f")]
             self.parts.append(svg_rect(LEFT, baseline, WIDTH - LEFT - 10, 0.6, "#bbb"))
             y += ROW
@@ -119,7 +125,7 @@
         """Draw the time axis and a vertical line for each mark, with its text where it fits."""
         text_free_from = 0.0
         for at_s, what in self.report.marks:
-            x = self.x(at_s)
+            x = self.x_position(at_s)
             self.parts.append(
                 f'<line x1="{x:.1f}" x2="{x:.1f}" y1="18" y2="{bottom}" stroke="#9060a0" '
                 f'stroke-width="0.7" stroke-dasharray="3 3"><title>{at_s:g} s: {escape(what)}</title></line>'
@@ -128,7 +134,7 @@
                 self.parts.append(svg_text(x + 2, 14, what))
                 text_free_from = x + 7.0 * len(what) + 8
         for tick in range(0, int(self.span_s) + 1, max(1, round(self.span_s / 12))):
-            self.parts.append(svg_text(self.x(tick), bottom + 14, f"{tick} s", "middle"))
+            self.parts.append(svg_text(self.x_position(tick), bottom + 14, f"{tick} s", "middle"))
 
     def to_html(self) -> str:
         """Return the page as HTML."""
--- a/client_proxy/emulator/process_model.py
+++ b/client_proxy/emulator/process_model.py
@@ -173,7 +173,7 @@
         cold_capacity = server_type.cold_capacity
         return min(1.0, cold_capacity + (1 - cold_capacity) * min(1.0, progress))
 
-    def cold(self, now_s: float) -> bool:
+    def is_warming_up(self, now_s: float) -> bool:
         """Return whether it is still warming up."""
         return self.warmth(now_s) < 1.0
 
--- a/client_proxy/emulator/report.py
+++ b/client_proxy/emulator/report.py
@@ -47,7 +47,7 @@
     Attributes:
         asked: the number of requests.
         served: the number of requests served within the latency objective.
-        late: the number of requests served after it.
+        late: the number of requests served after the latency objective.
         refused: the number of requests that ended with a rejection.
         failed: the number of requests that failed otherwise.
         tries: the number of client attempts.
--- a/client_proxy/emulator/server_connection.py
+++ b/client_proxy/emulator/server_connection.py
@@ -88,7 +88,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection, with one request at a time.
+    """One connection from a proxy to an emulated server, with one request at a time.
 
     Attributes:
         proxy: the number of the proxy at its other end.
--- a/client_proxy/emulator/simulated_instance.py
+++ b/client_proxy/emulator/simulated_instance.py
@@ -65,7 +65,7 @@
     unreachable_from: set[str] = field(default_factory=set)  # zones whose attempts get no response
     attempt_count: int = 0
 
-    def listed(self) -> ListedEndpoint:
+    def endpoint_entry(self) -> ListedEndpoint:
         """Return the server's entry of the endpoint list."""
         return ListedEndpoint(self.name, self.zone, 1, state=EndpointState.READY, started_ms=None)
 
@@ -150,7 +150,7 @@
 
     def send_endpoint_list(self) -> None:
         """Give the balancer the list of all servers."""
-        endpoints = tuple(server.listed() for server in self.cluster.servers.values())
+        endpoints = tuple(server.endpoint_entry() for server in self.cluster.servers.values())
         self.handle_events(EndpointsListed(ListKind.FULL, endpoints))
 
     def call_later(self, delay_ms: float, action: Callable[[], None]) -> None:
--- a/client_proxy/emulator/virtual.py
+++ b/client_proxy/emulator/virtual.py
@@ -22,7 +22,7 @@
 log = logging.getLogger(__name__)
 T = TypeVar("T")
 
-START_S = 1000.0  # seconds; not 0, so that simulations show code that takes the time 0 for "never"
+START_S = 1000.0  # seconds; not 0, so that simulations reveal code in which the time 0 stands for "never"
 
 
 class Scheduler:
--- a/client_proxy/emulator/virtual_proxy.py
+++ b/client_proxy/emulator/virtual_proxy.py
@@ -97,7 +97,7 @@
 
         async def shut_down() -> None:
             await daemon.shut_down()
-            # On the simulation's loop, as those that wait for the end run there.
+            # Scheduled on the simulation's loop, where the tasks that wait for the proxy's end run.
             self._environment.loop.call_soon(self._end_process, loop)
 
         loop.call_soon(lambda: loop.create_task(shut_down()))
--- a/client_proxy/membership/codec.py
+++ b/client_proxy/membership/codec.py
@@ -140,7 +140,7 @@
 
 
 def _write_with_signature(record: Alive | ObservationReport) -> bytes:
-    return record.packed() + record.signature
+    return record.pack_unsigned() + record.signature
 
 
 def _read_alive(reader: _Reader) -> Alive:
--- a/client_proxy/membership/dissemination.py
+++ b/client_proxy/membership/dissemination.py
@@ -92,7 +92,7 @@
         own.incarnation = max(own.incarnation, known_incarnation) + 1
         own.sign()
         state.broadcasts.put(Topic(Alive, own.number), own.alive)
-        if known_incarnation > 1 or not state.members.present():
+        if known_incarnation > 1 or not state.members.present_members():
             self._joining.contact_seed()
 
     def introduce(self, priority: SendPriority, destination: Address, number: int) -> None:
--- a/client_proxy/membership/evidence.py
+++ b/client_proxy/membership/evidence.py
@@ -30,7 +30,8 @@
 BAD_SHARE = 0.5  # a server that fails more than this share of its attempts is considered faulty
 MIN_SERVERS_TO_COMPARE = 3  # with fewer observed servers, a majority of faulty ones is not conclusive
 SLOW_FACTOR = 2.5  # times the median slowness; a slower server is reported
-# with fewer responses a server is not reported as slow: one that waited for a new connection is always slow
+# With fewer responses a server is not reported as slow, as a response that waited for a new connection is
+# always slow.
 MIN_SERVED_TO_BE_SLOW = 3
 SLOWNESS_UNITS = 16.0  # reported slowness is in units of 1/16
 AGE_UNIT_MS = 100.0  # ms; unit of a reported age
--- a/client_proxy/membership/health.py
+++ b/client_proxy/membership/health.py
@@ -12,7 +12,8 @@
 MAX_SCORE = 8
 DEGRADED_SCORE = 3  # from this score on, the instance reports no observations of servers
 LATE_TIMER_MS, VERY_LATE_TIMER_MS = 100.0, 500.0  # ms; timer delays that raise the score by 1 and by 3
-# ms after a block during which responses look slow, because they waited in the instance's own buffers
+# ms; for this time after the event loop was blocked, responses look slow, because they waited in the
+# instance's own buffers.
 SETTLE_AFTER_BLOCK_MS = 1000.0
 
 
--- a/client_proxy/membership/joining.py
+++ b/client_proxy/membership/joining.py
@@ -73,7 +73,7 @@
     def _contact_until_joined(self, now_ms: float, wait_ms: float) -> None:
         """Contact seeds with a backoff until a member is known, since a whole fleet may start at once."""
         state = self._state
-        if state.members.present() or not self.seeds:
+        if state.members.present_members() or not self.seeds:
             return
         self.contact_seed()
         next_ms = now_ms + wait_ms * state.random.uniform(0.75, 1.25)
--- a/client_proxy/membership/members.py
+++ b/client_proxy/membership/members.py
@@ -102,7 +102,7 @@
         """Remove a member if it is in the table."""
         self._members.pop(number, None)
 
-    def present(self) -> list[Member]:
+    def present_members(self) -> list[Member]:
         """Return the members that are alive or suspected."""
         return [member for member in self._members.values() if member.is_present]
 
--- a/client_proxy/membership/messages.py
+++ b/client_proxy/membership/messages.py
@@ -149,9 +149,9 @@
     @property
     def signed_bytes(self) -> bytes:
         """What the member's signature covers."""
-        return b"alive" + self.packed()
+        return b"alive" + self.pack_unsigned()
 
-    def packed(self) -> bytes:
+    def pack_unsigned(self) -> bytes:
         """Return the record's bytes on the wire, without its signature."""
         return ALIVE_LAYOUT.pack(
             self.member, self.incarnation, self.boot_id, self.has_left, self.port, pack_host(self.host)
@@ -193,9 +193,9 @@
     @property
     def signed_bytes(self) -> bytes:
         """What the observer's signature covers."""
-        return b"seen" + self.packed()
+        return b"seen" + self.pack_unsigned()
 
-    def packed(self) -> bytes:
+    def pack_unsigned(self) -> bytes:
         """Return the record's bytes on the wire, without its signature."""
         head = REPORT_LAYOUT.pack(self.observer, self.incarnation, self.sequence, len(self.observations))
         packed_observations = (
--- a/client_proxy/membership/observation.py
+++ b/client_proxy/membership/observation.py
@@ -133,7 +133,7 @@
         known = self._latest.get(report.observer)
         if known is None or (known.incarnation, known.sequence) != (report.incarnation, report.sequence):
             return False
-        return known.packed_report != report.packed()
+        return known.packed_report != report.pack_unsigned()
 
     def record(self, now_ms: float, report: ObservationReport, zone: int) -> None:
         """Store a newer report with a valid signature; `zone` is the zone tag of its observer."""
@@ -147,7 +147,7 @@
             zone=zone,
             incarnation=report.incarnation,
             sequence=report.sequence,
-            packed_report=report.packed(),
+            packed_report=report.pack_unsigned(),
             observations={
                 (observation.server_tag, observation.class_tag): observation
                 for observation in report.observations
--- a/client_proxy/membership/probe_order.py
+++ b/client_proxy/membership/probe_order.py
@@ -27,6 +27,6 @@
             member = members.get(self._numbers.pop())
             if member is not None and member.is_present:
                 return member
-        self._numbers = [member.number for member in members.present()]
+        self._numbers = [member.number for member in members.present_members()]
         self._state.random.shuffle(self._numbers)
         return members.get(self._numbers.pop()) if self._numbers else None
--- a/client_proxy/membership/probing.py
+++ b/client_proxy/membership/probing.py
@@ -123,7 +123,7 @@
         dead = [member for member in state.members if member.state is MemberState.DEAD]
         if dead:
             self._send_ping(state.random.choice(dead))
-        if not state.members.present() or state.random.random() < RECONNECT_SEED_SHARE:
+        if not state.members.present_members() or state.random.random() < RECONNECT_SEED_SHARE:
             self._joining.contact_seed()
 
     def _send_ping(self, member: Member, requester: ProbeRequester | None = None) -> int:
--- a/client_proxy/membership/settings.py
+++ b/client_proxy/membership/settings.py
@@ -34,7 +34,7 @@
     listen: Address = ANY_LOOPBACK_PORT  # port 0 stands for any free port
     seeds: tuple[Address, ...] = ()  # addresses of instances to contact first
     fanout: int = 2  # members to which broadcasts are sent in each round
-    spread_ms: float = 200.0  # ms between two rounds of broadcasts
+    spread_ms: float = 200.0  # ms between two rounds of broadcasts, while there is something to broadcast
     sends_per_s: float = 40.0  # limit of datagrams sent per second
     bytes_per_s: float = 8192.0  # limit of bytes sent per second
     takes_per_s: float = 200.0  # limit of datagrams processed per second, from all sources together
--- a/client_proxy/membership/swim_state.py
+++ b/client_proxy/membership/swim_state.py
@@ -76,7 +76,7 @@
 
     def random_members(self, count: int, *excluded: int) -> list[Member]:
         """Return up to `count` random present members, without those of the excluded numbers."""
-        candidates = [member for member in self.members.present() if member.number not in excluded]
+        candidates = [member for member in self.members.present_members() if member.number not in excluded]
         return self.random.sample(candidates, min(count, len(candidates)))
 
     def record_state_change(self, member: Member) -> None:
--- a/client_proxy/rollout/outcome_counts.py
+++ b/client_proxy/rollout/outcome_counts.py
@@ -66,8 +66,8 @@
         if len(self._last_reports) > MAX_MEMBERS:
             oldest = next(iter(self._last_reports))
             del self._last_reports[oldest], self.zones[oldest]
-        # The first report of an incarnation may cover hours, or only the seconds of a start. Counts are added
-        # only as the difference to a previous report of the same incarnation and version.
+        # The first report of an incarnation may cover hours, or only the first seconds after a start. So only
+        # the difference to a previous report of the same incarnation and version is counted.
         if (
             previous is None
             or previous.incarnation != report.incarnation
--- a/client_proxy/rollout/rollout_controller.py
+++ b/client_proxy/rollout/rollout_controller.py
@@ -227,7 +227,7 @@
         self._update_control_health(now_s, window)
         elapsed_s = now_s - self._started_s
         if self.state.phase is Phase.PROBING:
-            return self._step_after_probe(now_s, elapsed_s)
+            return self._step_while_probing(now_s, elapsed_s)
         if self.state.phase is not Phase.RUNNING:
             return None
         if self.state.stage == 0:
@@ -263,13 +263,15 @@
         if elapsed_s > PROBE_WITHIN_S or not has_enough_windows or self.state.stage <= 1:
             return None
         if self.state.probes:
-            # Once may be a coincidence: a rack may fail when the stage begins and recover during the probe.
+            # The first time may be a coincidence: a rack may fail when the stage begins and recover during
+            # the probe.
             finding = "twice the others did worse with it as well, and not without it"
             return Rollback(f"stage {self.state.stage}: {finding}")
         reason = f"the others do worse since stage {self.state.stage} began: all by the old one"
         return self._change_phase(Phase.PROBING, reason)
 
-    def _step_after_probe(self, now_s: float, elapsed_s: float) -> Action | None:
+    def _step_while_probing(self, now_s: float, elapsed_s: float) -> Action | None:
+        """End the probe once the control group has recovered, during the probe or after its deadline."""
         deadline_s = PROBE_S + RECENT_WINDOWS
         healthy_since_s = self._healthy_since_s
         if (
--- a/client_proxy/rollout/rollout_executor.py
+++ b/client_proxy/rollout/rollout_executor.py
@@ -264,7 +264,7 @@
 
     # Operators' commands
 
-    def started_file(self, policy_text: str, table: RolloutTable) -> bytes:
+    def make_file_with_rollout(self, policy_text: str, table: RolloutTable) -> bytes:
         """Return the policy file that starts a rollout.
 
         Raises:
--- a/client_proxy/scale/command.py
+++ b/client_proxy/scale/command.py
@@ -47,9 +47,9 @@
     if json_file is not None:
         json_file.write_text(json.dumps(report.to_json(), indent=1))
     if page is not None:
-        from client_proxy.scale.page import draw
+        from client_proxy.scale.page import write_page
 
-        draw(report, page)
+        write_page(report, page)
     show(report, Console())
     sys.exit(EXIT_CODES[report.outcome])
 
--- a/client_proxy/scale/files.py
+++ b/client_proxy/scale/files.py
@@ -16,11 +16,11 @@
 INSTANCE_FILE_NAME = "serve.toml"
 VERSIONS_FOLDER = "kept"  # in an instance's folder; holds the policy versions that it keeps
 GOSSIP_SEEDS = 3  # gossip seeds that each instance is given
-WEIGHT_STEPS = 997  # number of distinct weights that successive changes cycle through
+WEIGHT_STEPS = 997  # weights that changes cycle through, so that each differs from the one before
 
 
 def server_name(plan: ScalePlan, number: int) -> str:
-    """Names service and index; servers are dealt out to the services in turn."""
+    """Returns a server's name, made of its service and index; servers are assigned to services in turn."""
     return f"s{number % plan.policy.services}-{number // plan.policy.services}"
 
 
--- a/client_proxy/scale/measure.py
+++ b/client_proxy/scale/measure.py
@@ -166,7 +166,7 @@
     return result
 
 
-def proposals(changes: list[Json]) -> dict[str, int]:
+def count_tries_by_outcome(changes: list[Json]) -> dict[str, int]:
     """Counts tries by outcome; a refusal includes the reason of the first instance that refused."""
     return dict(Counter(_outcome(each) for change in changes for each in change["tries"]))
 
@@ -197,7 +197,7 @@
     waited_percent: float
 
 
-def cost(host: HostProcess, before: Sample, after: Sample, length_s: float) -> Cost | None:
+def process_cost(host: HostProcess, before: Sample, after: Sample, length_s: float) -> Cost | None:
     """Returns the cost of a process, divided by its instances; None if it was restarted meanwhile."""
     if after.cpu_s < before.cpu_s or any(
         after.traffic.get(key, 0) < count for key, count in before.traffic.items()
@@ -219,7 +219,7 @@
     )
 
 
-def costs(
+def collect_costs(
     layout: Layout, before: Mapping[str, Sample], after: Mapping[str, Sample], length_s: float
 ) -> dict[Role, list[Cost]]:
     """Returns the cost per instance of each process, by role.
@@ -233,7 +233,7 @@
             continue
         if host.role is Role.FOLLOWER and len(host.placements) * 2 < largest:
             continue
-        instance_cost = cost(host, before[host.name], after[host.name], length_s)
+        instance_cost = process_cost(host, before[host.name], after[host.name], length_s)
         if instance_cost is not None:
             costs_by_role[host.role].append(instance_cost)
     return costs_by_role
--- a/client_proxy/scale/page.py
+++ b/client_proxy/scale/page.py
@@ -14,7 +14,7 @@
 PLOTTED = (CPU, MEMORY, SENT_AND_RECEIVED)  # measurements with a plot by role
 
 
-def draw(report: Report, out: Path) -> None:
+def write_page(report: Report, out: Path) -> None:
     """Writes the page to `out`. Raises OSError if it can't be written."""
     parts = [_day_section(day) for day in report.days]
     title = html.escape(f"{report.plan}: {report.outcome}")
--- a/client_proxy/scale/plan.py
+++ b/client_proxy/scale/plan.py
@@ -13,7 +13,7 @@
 from client_proxy.config.models import Model, parse
 from client_proxy.toml_table import TomlError, read_text
 
-MAX_PROCESSES = 200  # of one run
+MAX_PROCESSES = 200  # processes of one run
 MEMORY_SHARE = 0.5  # largest share of the machine's memory that a run may take
 MAX_INSTANCES = 10_000  # hollow instances of one region
 MAX_SEATS = 7  # control machines of a run, each with a seat in the agreement
--- a/client_proxy/scale/run.py
+++ b/client_proxy/scale/run.py
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class DayStart:
+class DayStartSamples:
     """Counts and samples at the beginning of a day, which its end is compared with."""
 
     at_s: float
@@ -90,13 +90,15 @@
             day, course, before, samples, length_s, calls, changes, authors["cpu_s"] - before.authors_cpu_s
         )
 
-    async def _record_day_start(self) -> DayStart:
+    async def _record_day_start(self) -> DayStartSamples:
         await self.fleet.poll()
         authors = await self.fleet.authors.ask("look")
         await self._take_calls()
         without_s = {name: view.without_lease_s for name, view in self.fleet.views.items()}
         samples = await self.fleet.sample()
-        return DayStart(time.monotonic(), samples, without_s, len(authors["changes"]), authors["cpu_s"])
+        return DayStartSamples(
+            time.monotonic(), samples, without_s, len(authors["changes"]), authors["cpu_s"]
+        )
 
     async def _take_calls(self) -> dict[str, Json]:
         """Returns how clients' calls have ended since the last query, by real instance."""
@@ -105,7 +107,7 @@
             calls |= (await helper.ask("take"))["instances"]
         return calls
 
-    async def _await_changes(self, before: DayStart) -> list[Json]:
+    async def _await_changes(self, before: DayStartSamples) -> list[Json]:
         """Returns the changes of this day once their authors are done, or after `AUTHORS_TIMEOUT_S`."""
         end_s = time.monotonic() + AUTHORS_TIMEOUT_S
         while True:
@@ -131,7 +133,7 @@
         self,
         day: DayTable,
         course: DayCourse,
-        before: DayStart,
+        before: DayStartSamples,
         samples: dict[str, Sample],
         length_s: float,
         calls: dict[str, Json],
@@ -147,11 +149,13 @@
         report = DayReport(day.title, day.kind, round(length_s, 2), changes=rows, notes=events.notes)
         report.figures += measure.change_measurements(rows, changes)
         report.figures += measure.return_measurements(events, switches)
-        report.figures += measure.cost_measurements(measure.costs(layout, before.samples, samples, length_s))
+        report.figures += measure.cost_measurements(
+            measure.collect_costs(layout, before.samples, samples, length_s)
+        )
         report.figures += measure.author_measurements(authors_cpu_s, changes)
         report.figures += measure.call_measurements(layout, calls)
         report.figures += measure.view_measurements(layout, self.fleet.views)
-        report.proposals = measure.proposals(changes)
+        report.proposals = measure.count_tries_by_outcome(changes)
         report.without_lease = measure.lease_measurements(layout, without_s)
         report.calls = measure.count_call_endings(layout, calls)
         return report
--- a/client_proxy/scale/topology.py
+++ b/client_proxy/scale/topology.py
@@ -94,7 +94,7 @@
         self._member = 0
         self._add_control()
         self._add_followers()
-        self._add_real()
+        self._add_real_instances()
 
     @property
     def placements(self) -> list[Placement]:
@@ -165,7 +165,7 @@
             group = tuple(placements[nth::count])
             self.hosts.append(HostProcess(f"hollow-{placements[0].zone}-{nth}", Role.FOLLOWER, group))
 
-    def _add_real(self) -> None:
+    def _add_real_instances(self) -> None:
         zones = [(region.name, zone) for region in self.plan.region for zone in region.zones]
         for number in range(self.plan.real.instances + self.plan.real.plain):
             role = Role.REAL if number < self.plan.real.instances else Role.PLAIN
--- a/tests/compatibility/test_policy_files.py
+++ b/tests/compatibility/test_policy_files.py
@@ -227,7 +227,7 @@
     async def run() -> None:
         told: list[OutcomeReport] = []
         executor = RolloutExecutor("h", 5, lambda: 100.0, told.append, lambda body, why: None, lambda: True)
-        begun = executor.started_file(OLD_POLICY, MINIMAL_ROLLOUT)
+        begun = executor.make_file_with_rollout(OLD_POLICY, MINIMAL_ROLLOUT)
         assert begun == sample("rollout-minimal.toml")
         full = sample("rollout-full.toml")
         executor.activate_version(70, read_policy(full, "x"), full)
--- a/tests/compatibility/test_stored_state.py
+++ b/tests/compatibility/test_stored_state.py
@@ -72,7 +72,7 @@
     assert store.load_state() == MEMORY
     assert store.decided() == DECIDED
     assert store.history() == PAST
-    assert [store.past(number) for number in (62, 63, 64)] == PAST
+    assert [store.load_past(number) for number in (62, 63, 64)] == PAST
     assert store.body(BODY_DIGEST) == BODY
 
 
--- a/tests/consensus/test_model_search.py
+++ b/tests/consensus/test_model_search.py
@@ -245,7 +245,8 @@
     state = State.start(model)
     for _ in range(data.draw(st.integers(20, 120))):
         steps = list(state.steps())
-        # Deliveries are drawn more often than other steps, as in the random walk.
+        # Deliveries are drawn more often than other steps, as in the random walk: a state has many possible
+        # deliveries and only a few other steps.
         deliveries = [step for step in steps if step.kind is StepKind.DELIVER]
         delivery_choice: int = data.draw(st.integers(0, 3))
         choices = deliveries if deliveries and delivery_choice else steps
--- a/tests/emulator/test_burst_recovery.py
+++ b/tests/emulator/test_burst_recovery.py
@@ -1,11 +1,12 @@
 """Recovery of the fleet after a burst above the servers' capacity that makes servers congested.
 
-The failure: in a run with a release, a burst and three lost servers, clients got 0.27 to 1.0 of the score,
-depending on run and machine, and the fleet went on rejecting for five seconds after the load was gone.
+The failure: in a run with a release, a burst and three lost servers, clients get 0.27 to 1.0 of the score,
+depending on run and machine, and the fleet goes on rejecting for five seconds after the load is gone.
 The cause: a server that holds too many requests for two seconds works 2.6 times as slowly until its cores are
 mostly idle, or 20 s are over, so recovery depends on how soon the fleet detects congestion. Without load
-reports it detected it late: by the latency of responses, smoothed over ten responses of each server (five
-seconds at two a second), without the slowest, which timed out. In the scenario below without reports, seed 1:
+reports the fleet detects congestion late: it has only the latency of responses, smoothed over ten responses
+of each server (five seconds at two a second), and the slowest attempts time out and give no response. In the
+scenario below without reports, seed 1:
     at 4.5 s: 217 requests in flight; latency inflation 1.34 as the fleet sees it, 4.5 at the servers (48
     requests run, 170 wait)
     at 8.5 s: 11 of 12 servers congested, 205 of 336 attempts a second time out
--- a/tests/emulator/test_faults.py
+++ b/tests/emulator/test_faults.py
@@ -213,7 +213,7 @@
         half_sent.transport.write(encoded[:40])
         await until(lambda: len(simulation.event_log.arrivals) == 1 and len(server.connections) == 3)
         server.freeze()
-        # The operating system buffers this, and the server does not read it.
+        # The operating system buffers what follows, and the frozen server does not read it.
         half_sent.transport.write(encoded[40:])
         idle.transport.write(request("t2"))
         # The operating system still accepts connections.
@@ -222,7 +222,7 @@
         responses = [
             asyncio.ensure_future(client.answer()) for client in (complete, half_sent, idle, late_client)
         ]
-        # Longer than the running request's work: no response comes, and no connection is closed.
+        # Wait longer than the running request's work: no response comes, and no connection is closed.
         await asyncio.sleep(0.2)
         assert len(simulation.event_log.arrivals) == 1
         assert not any(response.done() for response in responses)
--- a/tests/emulator/test_gossip.py
+++ b/tests/emulator/test_gossip.py
@@ -52,4 +52,5 @@
     used_at_the_end = {
         arrival.server for arrival in result.event_log.arrivals if arrival.arrived_s - result.start_s > 12.5
     }
-    assert used_at_the_end >= set(result.specs) - {"west-1"}  # whose fault ended only half a second before
+    # The fault of west-1 ends only half a second before this span, so its use is not required.
+    assert used_at_the_end >= set(result.specs) - {"west-1"}
--- a/tests/emulator/test_overload.py
+++ b/tests/emulator/test_overload.py
@@ -21,8 +21,12 @@
 
 
 @cache
-def run_day(name: str, operators: str = "on") -> Report:
-    settings = {"on": WITH_ADMISSION, "off": NO_FEATURES, "both": WITH_ADMISSION_AND_LOCALITY}[operators]
+def run_day(name: str, features: str = "admission") -> Report:
+    settings = {
+        "admission": WITH_ADMISSION,
+        "no features": NO_FEATURES,
+        "admission and locality": WITH_ADMISSION_AND_LOCALITY,
+    }[features]
     result = simulate(load_scenario(DAYS / f"{name}.toml"), operators=settings)
     report = build_report(result)
     assert not report.broken, report.breaches
@@ -37,20 +41,20 @@
     return [window["served_share"] for window in report.windows]
 
 
-@pytest.mark.parametrize("operators", ["on", "both"])
-def test_the_loss_of_a_zone_under_full_load_costs_extracts_and_few_entries(operators: str) -> None:
-    report = run_day("overload-hall-lost", operators)
+@pytest.mark.parametrize("features", ["admission", "admission and locality"])
+def test_the_loss_of_a_zone_under_full_load_costs_extracts_and_few_entries(features: str) -> None:
+    report = run_day("overload-hall-lost", features)
     assert served_share(report, ENTRY) > 0.98
-    # The remaining cores can serve 0.92.
+    # The remaining cores can serve 0.92 of the load.
     assert min(window_shares(report)) > 0.85
     assert max(window_shares(report)[-2:]) > 0.97
-    without_admission = run_day("overload-hall-lost", "off")
+    without_admission = run_day("overload-hall-lost", "no features")
     assert min(window_shares(without_admission)) < 0.75
     assert served_share(without_admission, ENTRY) < 0.9
 
 
 def test_a_busy_proxy_serves_its_entries_after_the_loss_of_its_zone() -> None:
-    report = run_day("overload-busy-proxy", "both")
+    report = run_day("overload-busy-proxy", "admission and locality")
     assert served_share(report, ENTRY) > 0.985
     assert min(window_shares(report)) > 0.93
 
@@ -59,14 +63,14 @@
     report = run_day("overload-flood")
     assert served_share(report, ENTRY) > 0.985
     assert window_shares(report)[3] > 0.98  # the flood ended in the window before
-    assert served_share(run_day("overload-flood", "off"), ENTRY) < 0.75
+    assert served_share(run_day("overload-flood", "no features"), ENTRY) < 0.75
 
 
 def test_a_threefold_rise_of_work_is_detected() -> None:
     report = run_day("overload-costly")
     assert served_share(report, ENTRY) > 0.98
     assert min(window_shares(report)) > 0.85
-    assert min(window_shares(run_day("overload-costly", "off"))) < 0.6
+    assert min(window_shares(run_day("overload-costly", "no features"))) < 0.6
 
 
 def test_a_slow_server_that_reports_itself_idle_does_no_harm() -> None:
@@ -80,14 +84,14 @@
     assert report.rules["push"] == 0
     assert min(window_shares(report)) > 0.7
     assert served_share(report, ENTRY) > 0.93
-    assert min(window_shares(run_day("overload-restart", "off"))) < 0.6
+    assert min(window_shares(run_day("overload-restart", "no features"))) < 0.6
 
 
 def test_endless_immediate_client_retries_do_not_lower_the_served_share() -> None:
     report = run_day("overload-deaf")
     assert served_share(report, ENTRY) > 0.97
     assert min(window_shares(report)) > 0.8
-    assert min(window_shares(run_day("overload-deaf", "off"))) < 0.65
+    assert min(window_shares(run_day("overload-deaf", "no features"))) < 0.65
 
 
 def test_service_recovers_within_five_seconds_after_a_burst_of_twice_the_load() -> None:
@@ -98,9 +102,9 @@
 
 
 def test_admission_hardly_changes_a_calm_day() -> None:
-    report, without_admission = run_day("calm-morning"), run_day("calm-morning", "off")
+    report, without_admission = run_day("calm-morning"), run_day("calm-morning", "no features")
     assert report.served_share > without_admission.served_share - 0.004
-    # Admission may reject only requests that would have been late or rejected without it, and two more.
+    # Admission may reject only requests that would have been late or rejected without it, plus two.
     unserved = sum(
         class_report.refused + class_report.late for class_report in without_admission.classes.values()
     )
--- a/tests/emulator/test_report.py
+++ b/tests/emulator/test_report.py
@@ -45,10 +45,11 @@
 
 
 def test_a_sampler_that_fails_is_an_error_of_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A sampler that was cancelled but not awaited left an incomplete time line in the report and no error.
-    async def failing(self: Simulation, progress: object) -> None:
+    # The run must await its cancelled sampler. Otherwise a sampler that failed would leave an incomplete time
+    # line in the report and no error.
+    async def fail_to_sample(self: Simulation, progress: object) -> None:
         raise RuntimeError("no sample")
 
-    monkeypatch.setattr(Simulation, "_sample", failing)
+    monkeypatch.setattr(Simulation, "_sample", fail_to_sample)
     with pytest.raises(RuntimeError, match="no sample"):
         played(length_s=1.0)
--- a/tests/emulator/test_zones.py
+++ b/tests/emulator/test_zones.py
@@ -140,7 +140,7 @@
     assert failed_attempts[0] > 0
     assert failed_attempts[2] <= failed_attempts[1] <= failed_attempts[0]
     # The zone carries less before each loss, as its recovery ramps grow longer. Without memory of earlier
-    # losses it carried 0.83 of the first value.
+    # losses a zone carries 0.83 of the first value before the third loss.
     arrivals_before_loss = [zone_arrivals(result, "west", at_s - 4.0, at_s) for at_s in (4.0, 28.0)]
     assert arrivals_before_loss[1] < 0.7 * arrivals_before_loss[0]
 
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -56,7 +56,7 @@
 )
 
 
-def fixed(size: int) -> st.SearchStrategy[bytes]:
+def fixed_size_bytes(size: int) -> st.SearchStrategy[bytes]:
     return st.binary(min_size=size, max_size=size)
 
 
@@ -74,15 +74,15 @@
     st.builds(Nack, u32),
     st.builds(PingRequest, u32, u32),
     st.builds(Suspect, u32, u32, u32),
-    st.builds(Certificate, u32, u32, u16, u8, fixed(32), fixed(64)),
-    st.builds(Alive, u32, u32, u32, hosts, u16, st.booleans(), fixed(64)),
+    st.builds(Certificate, u32, u32, u16, u8, fixed_size_bytes(32), fixed_size_bytes(64)),
+    st.builds(Alive, u32, u32, u32, hosts, u16, st.booleans(), fixed_size_bytes(64)),
     st.builds(
         ObservationReport,
         u32,
         u32,
         u32,
         st.lists(observations(), max_size=MAX_OBSERVED_SERVERS).map(tuple),
-        fixed(64),
+        fixed_size_bytes(64),
     ),
     st.builds(MemberRequest, st.lists(u32, max_size=MAX_REQUESTED_MEMBERS).map(tuple)),
     st.builds(Digest, st.lists(u32, min_size=DIGEST_BUCKETS, max_size=DIGEST_BUCKETS).map(tuple)),
--- a/tests/rollout/test_rollout_executor.py
+++ b/tests/rollout/test_rollout_executor.py
@@ -177,7 +177,7 @@
     async def test(instances: SimulatedInstances) -> None:
         executor = instances.executor
         with pytest.raises(RolloutInProgressError, match="is on"):
-            executor.started_file(OLD_POLICY, TABLE)
+            executor.make_file_with_rollout(OLD_POLICY, TABLE)
         with pytest.raises(OrderNotApplicableError, match="nothing to let go on"):
             executor.apply_order("go-on")
         content, _ = executor.apply_order("pause")
--- a/tests/scale/test_measure.py
+++ b/tests/scale/test_measure.py
@@ -43,7 +43,7 @@
     host = HostProcess("hollow-a-0", Role.FOLLOWER, placements)
     before = Sample(1.0, 0, 0.0, {"sent": 10, "bytes_sent": 1024})
     after = Sample(1.4, 4096, 0.5, {"sent": 50, "bytes_sent": 1024 * 21, "stream_bytes_received": 2048})
-    per_instance = measure.cost(host, before, after, 10.0)
+    per_instance = measure.process_cost(host, before, after, 10.0)
     assert per_instance is not None
     assert (per_instance.mb, per_instance.sent_kb_s, per_instance.received_kb_s, per_instance.sent_s) == (
         2.0,
@@ -54,15 +54,15 @@
     assert abs(per_instance.cpu_percent - 2.0) < 1e-9
     assert per_instance.waited_percent == 5.0
     # A process that was restarted meanwhile counts from 0 again and has no cost.
-    assert measure.cost(host, after, before, 10.0) is None
+    assert measure.process_cost(host, after, before, 10.0) is None
 
 
 def test_control_alone_is_the_cost_difference_of_instances_with_and_without_control() -> None:
-    def cost(cpu: float, mb: float) -> measure.Cost:
+    def make_cost(cpu: float, mb: float) -> measure.Cost:
         return measure.Cost(cpu, mb, 1.0, 1.0, 1.0, 1.0, 0.0)
 
     costs_by_role: dict[Role, list[measure.Cost]] = {role: [] for role in Role}
-    costs_by_role |= {Role.REAL: [cost(12.0, 60.0)], Role.PLAIN: [cost(10.0, 50.0)]}
+    costs_by_role |= {Role.REAL: [make_cost(12.0, 60.0)], Role.PLAIN: [make_cost(10.0, 50.0)]}
     rows = {row.name: row for row in measure.cost_measurements(costs_by_role) if row.role == CONTROL_ALONE}
     assert rows[measure.CPU].most == 2.0
     assert rows[measure.CPU].standing == "over"
@@ -77,7 +77,7 @@
     layout = Layout(load(ROOT / "examples/scale/crowded-troubled.toml"))
     before = {host.name: Sample(0.0, 0, 0.0, {}) for host in layout.hosts}
     after = {host.name: Sample(1.0, 1024, 0.0, {}) for host in layout.hosts}
-    found = measure.costs(layout, before, after, 1.0)
+    found = measure.collect_costs(layout, before, after, 1.0)
     hosts = [host for host in layout.hosts_of(Role.FOLLOWER) if not host.name.startswith("alone-")]
     assert len(found[Role.FOLLOWER]) == len(hosts)
 
@@ -113,7 +113,7 @@
     assert found[measure.IN_FORCE].count == 1
     assert found[measure.IN_FORCE].most == 1.0
     assert found[measure.IN_FORCE_AWAY].count == 1
-    assert measure.proposals(changes) == {"decided": 2}
+    assert measure.count_tries_by_outcome(changes) == {"decided": 2}
 
 
 def test_proposals_are_counted_by_outcome_and_refusals_by_reason() -> None:
@@ -122,7 +122,7 @@
         {"what": "another's", "why": ""},
         {"what": "refused", "why": "9: its body can't be had"},
     ]
-    assert measure.proposals([{"tries": tries}]) == {
+    assert measure.count_tries_by_outcome([{"tries": tries}]) == {
         "refused (its body can't be had)": 2,
         "another's": 1,
     }
--- a/tests/scale/test_run.py
+++ b/tests/scale/test_run.py
@@ -10,7 +10,7 @@
 
 from client_proxy.fault_injection.child_process import ROOT
 from client_proxy.scale import measure
-from client_proxy.scale.page import draw
+from client_proxy.scale.page import write_page
 from client_proxy.scale.plan import load
 from client_proxy.scale.report import CONTROL_ALONE, Report
 from client_proxy.scale.run import run
@@ -99,7 +99,7 @@
 
 def check_the_page_and_the_table_show_each_budget(report: Report, tmp_path: Path) -> None:
     page = tmp_path / "page.html"
-    draw(report, page)
+    write_page(report, page)
     text = page.read_text()
     assert text.count("data:image/png;base64,") == len(report.days)
     assert "<td>under</td>" in text or "<td>over</td>" in text
