--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What the planned fleet costs by role: formulas over measured slopes, held against budgets."""
+"""Cost of the planned fleet by role: formulas over measured slopes, compared with budgets."""
--- a/benchmarks/capacity/plan.py
+++ b/benchmarks/capacity/plan.py
@@ -1,15 +1,15 @@
-"""The sizes that operators plan for, and the budgets that they state."""
+"""Sizes that the operators plan for, and budgets that they state."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SECONDS_A_DAY = 86_400.0
+SECONDS_PER_DAY = 86_400.0
 
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """Of the whole fleet."""
+    """Planned sizes and rates of the whole fleet."""
 
     hosts: int = 680
     services: int = 65
@@ -27,12 +27,12 @@
     restarts_a_day: float = 170.0
 
     @property
-    def calls_per_s_a_proxy(self) -> float:
+    def calls_per_s_per_proxy(self) -> float:
         return self.calls_per_s / self.hosts
 
     @property
     def changes_per_s(self) -> float:
-        return self.changes_a_day / SECONDS_A_DAY
+        return self.changes_a_day / SECONDS_PER_DAY
 
     @property
     def crowded_changes_per_s(self) -> float:
@@ -41,14 +41,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Budgets:
-    """`control_*`: of one client proxy's control part."""
+    """Budgets; those that start with `control_`, except `control_machine_core`, are for the control part of
+    one client proxy."""
 
     added_p99_ms: float = 0.87
     in_force_ms: float = 3_000.0
     control_core: float = 0.012
     control_mb: float = 32.0
     control_bytes_per_s: float = 22_000.0
-    control_machine_core: float = 1.0  # one event loop, on a machine set aside for it
+    control_machine_core: float = 1.0  # one event loop, on a machine reserved for it
 
 
 SIZES = Sizes()
--- a/benchmarks/capacity/row.py
+++ b/benchmarks/capacity/row.py
@@ -1,4 +1,4 @@
-"""One row of the capacity page, and what comes out of it with the measured slopes. No I/O."""
+"""Rows of the capacity page, and their figures computed from the measured slopes. No I/O."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
-    """What carries the quantity, or bounds it, and the file where it stands."""
+    """The mechanism that causes or bounds a quantity, and the source file that implements it."""
 
     name: str
     file: str
@@ -39,20 +39,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What was expected of a figure before it was measured, and whether a value bears it out."""
+    """An expectation stated before the measurement, and the check whether a measured value confirms it."""
 
-    said: str
-    holds: Callable[[float], bool]
+    expectation: str
+    is_confirmed_by: Callable[[float], bool]
 
     def verdict(self, value: float) -> str:
-        return f"{self.said}: {'confirmed' if self.holds(value) else 'refuted'}"
+        return f"{self.expectation}: {'confirmed' if self.is_confirmed_by(value) else 'refuted'}"
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """`formula`: the figure in words, as `figure` computes it. `needs`: the measurements behind it. `budget`:
-    None where operators state none. `loses_service`: calls are refused or fail by it; late is not lost.
-    `before`: the row that stands for the same today; this one is of the code before a mend."""
+    """One quantity of the capacity page.
+
+    `formula` describes in words what `figure` computes. `needs` names the measurements that it uses. `budget`
+    is None where operators state none. `loses_service` says whether requests are rejected or fail because of
+    it; late requests do not count as lost. `replaced_by` is set for a row measured with older code, before a
+    fix: it names the row of the same quantity with the current code."""
 
     name: str
     role: Role
@@ -65,16 +68,19 @@
     loses_service: bool
     mechanism: Mechanism
     claim: Claim | None = None
-    before: str = ""
+    replaced_by: str = ""
 
 
 class RowError(ValueError):
-    """A row whose measurement is missing; told by the row's name."""
+    """A measurement that a row needs is missing; the message has the row's name."""
 
 
 @dataclass(frozen=True, slots=True)
 class Computed:
-    """`value` None: not measured, for `reason`. `ratio` None: no budget is stated, or it is not measured."""
+    """A row with its figure and budget.
+
+    `value` is None if the row was not measured; `reason` then says why. `ratio` is None if there is no value
+    or no budget."""
 
     row: Row
     value: float | None
@@ -89,7 +95,9 @@
 
 
 def compute(row: Row, slopes: Slopes, sizes: Sizes = SIZES, budgets: Budgets = BUDGETS) -> Computed:
-    """Raises RowError by the row's name if a measurement of it is missing."""
+    """Computes the figure and the budget of a row.
+
+    Raises RowError, with the row's name, if a measurement that it needs is missing."""
     budget = row.budget(budgets) if row.budget is not None else None
     for name in row.needs:
         if name not in slopes.series and name not in slopes.runs and name not in slopes.not_measured:
@@ -99,44 +107,44 @@
     except NotMeasured as missing:
         return Computed(row, None, budget, missing.reason)
     except MissingSlope as missing:
-        raise RowError(f"row {row.name!r}: {missing}, and it is not among the row's needs") from None
+        raise RowError(f"row {row.name!r}: {missing}, and the row's needs do not list it") from None
 
 
-def by_ratio(rows: Sequence[Computed]) -> list[Computed]:
-    """The largest ratio first; then rows without a budget; then what was not measured."""
+def sort_by_ratio(rows: Sequence[Computed]) -> list[Computed]:
+    """Sorts rows by ratio, the largest first, then rows without a budget, then rows not measured."""
 
-    def rank(found: Computed) -> tuple[int, float]:
-        if found.value is None:
+    def rank(result: Computed) -> tuple[int, float]:
+        if result.value is None:
             return 2, 0.0
-        return (1, 0.0) if found.ratio is None else (0, -found.ratio)
+        return (1, 0.0) if result.ratio is None else (0, -result.ratio)
 
     return sorted(rows, key=rank)
 
 
-def as_it_stands(rows: Sequence[Computed]) -> list[Computed]:
-    """Without the rows of code before a mend."""
-    return [found for found in rows if not found.row.before]
+def current_rows(rows: Sequence[Computed]) -> list[Computed]:
+    """Returns the rows measured with the current code."""
+    return [result for result in rows if not result.row.replaced_by]
 
 
-def as_it_was(rows: Sequence[Computed]) -> list[Computed]:
-    """With rows of code before a mend in the place of those of today."""
-    mended = {found.row.before for found in rows if found.row.before}
-    return [found for found in rows if found.row.name not in mended]
+def rows_before_fixes(rows: Sequence[Computed]) -> list[Computed]:
+    """Returns the rows with those measured before a fix in place of the ones that replaced them."""
+    replaced_names = {result.row.replaced_by for result in rows if result.row.replaced_by}
+    return [result for result in rows if result.row.name not in replaced_names]
 
 
-def over_budget(rows: Sequence[Computed]) -> list[Computed]:
-    """Measured rows over their budget that lose no service, the largest ratio first."""
+def other_over_budget(rows: Sequence[Computed]) -> list[Computed]:
+    """Returns the measured rows that are over their budget and lose no service, the largest ratio first."""
     return [
-        found
-        for found in by_ratio(rows)
-        if not found.row.loses_service and (found.ratio is not None and found.ratio > 1)
+        result
+        for result in sort_by_ratio(rows)
+        if not result.row.loses_service and (result.ratio is not None and result.ratio > 1)
     ]
 
 
-def first_to_mend(rows: Sequence[Computed]) -> list[Computed]:
-    """Measured rows that lose service, over their budget, the largest ratio first."""
+def service_losing_over_budget(rows: Sequence[Computed]) -> list[Computed]:
+    """Returns the measured rows that are over their budget and lose service, the largest ratio first."""
     return [
-        found
-        for found in by_ratio(rows)
-        if found.row.loses_service and (found.ratio is not None and found.ratio > 1)
+        result
+        for result in sort_by_ratio(rows)
+        if result.row.loses_service and (result.ratio is not None and result.ratio > 1)
     ]
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -1,4 +1,4 @@
-"""Every row of the capacity page: by role, its formula, the measurements behind it, and its budget."""
+"""The rows of the capacity page by role, each with its formula, the measurements it needs and its budget."""
 
 from __future__ import annotations
 
@@ -6,10 +6,12 @@
 from benchmarks.capacity.row import Claim, Kind, Mechanism, Role, Row
 
 BALANCER = Mechanism("two draws over a list", "client_proxy/balancer/picker.py")
-UPSTREAM = Mechanism("pools of connections, one for each server", "client_proxy/proxy/upstream_pool.py")
-SLOTS = Mechanism("slots for connections; connected servers first", "client_proxy/proxy/connection_slots.py")
+UPSTREAM_POOLS = Mechanism("pools of connections, one for each server", "client_proxy/proxy/upstream_pool.py")
+CONNECTION_SLOTS = Mechanism(
+    "slots for connections; connected servers first", "client_proxy/proxy/connection_slots.py"
+)
 EVENT_LOOP = Mechanism("one event loop for calls and control", "client_proxy/proxy/daemon.py")
-SERVE = Mechanism("one list a process", "client_proxy/cli/instance_factory.py")
+LIST_PER_PROCESS = Mechanism("one list a process", "client_proxy/cli/instance_factory.py")
 RETRY_BUDGET = Mechanism(
     "retry budget: a tenth of what was served, 100 tokens", "client_proxy/balancer/retry_budget.py"
 )
@@ -18,16 +20,16 @@
     "a lease by a majority, asked for after a quarter of it", "client_proxy/consensus/lease_holder.py"
 )
 SIGNATURES = Mechanism("Ed25519 on each answer of a control machine", "client_proxy/consensus/signer.py")
-READING = Mechanism("tomllib and pydantic, in the event loop", "client_proxy/config/policy.py")
+FILE_READING = Mechanism("tomllib and pydantic, in the event loop", "client_proxy/config/policy.py")
 FAN_OUT = Mechanism("the author asks and tells everybody itself", "client_proxy/consensus/node.py")
-FETCHERS = Mechanism("32 readers of a body at a time", "client_proxy/consensus/body_transfer.py")
+BODY_READERS = Mechanism("32 readers of a body at a time", "client_proxy/consensus/body_transfer.py")
 RECEIVE_BUFFER = Mechanism("64 KiB of receive buffer, asked again later", "client_proxy/membership/link.py")
 ONE_GROUP = Mechanism("one group of control machines over all regions", "client_proxy/consensus/acceptor.py")
-AFTER = Mechanism("`--after`: made from the newest version", "client_proxy/consensus/policy_source.py")
+AFTER_OPTION = Mechanism("`--after`: made from the newest version", "client_proxy/consensus/policy_source.py")
 BALLOTS = Mechanism("ballots with waits that differ", "client_proxy/consensus/proposer.py")
 GOSSIP_TABLE = Mechanism("256 members, by rendezvous hashing", "client_proxy/membership/members.py")
 STORE = Mechanism("the last 20 bodies", "client_proxy/consensus/store.py")
-DIRECTORY = Mechanism(
+ENDPOINT_LISTS = Mechanism(
     "the whole list at the start and after a gap, else changes", "client_proxy/proxy/discovery.py"
 )
 ROLLOUT = Mechanism(
@@ -38,17 +40,17 @@
     Row(
         "Lists, added time at 680 servers", Role.DATA_PATH, Kind.TIME,
         "measured at 294 calls a second, 680 names of ten servers", "ms at the 99th percentile, least round",
-        formulas.added_p99_680, ("data_path.added_p99",), lambda b: b.added_p99_ms, False, SLOTS,
+        formulas.added_p99_680, ("data_path.added_p99",), lambda b: b.added_p99_ms, False, CONNECTION_SLOTS,
     ),
     Row(
         "Lists, calls lost at 680 servers", Role.DATA_PATH, Kind.TIME,
         "measured as above", "% of the calls",
-        formulas.lost_680, ("data_path.lost",), None, True, SLOTS,
+        formulas.lost_percent_680, ("data_path.lost",), None, True, CONNECTION_SLOTS,
     ),
     Row(
         "Lists, calls lost at 680 servers with ports of their own", Role.DATA_PATH, Kind.TIME,
         "measured as above, each name with a port", "% of the calls",
-        formulas.lost_own_ports_680, ("own_ports_lost",), None, True, SLOTS,
+        formulas.lost_percent_own_ports_680, ("own_ports_lost",), None, True, CONNECTION_SLOTS,
     ),
     Row(
         "Added time", Role.DATA_PATH, Kind.TIME,
@@ -64,7 +66,7 @@
     Row(
         "Added time: the daemon without a core meanwhile", Role.DATA_PATH, Kind.TIME,
         "measured: ready to run, and all cores taken by others", "ms a call",
-        formulas.waited_10, ("data_path.waited",), None, False, EVENT_LOOP,
+        formulas.wait_for_core_10, ("data_path.waited",), None, False, EVENT_LOOP,
     ),
     Row(
         "Added time by part, inside the daemon", Role.DATA_PATH, Kind.TIME,
@@ -91,7 +93,7 @@
     Row(
         "Dials", Role.DATA_PATH, Kind.MESSAGES,
         "connections made in 6 s at 680 servers / 6", "connections a second",
-        formulas.dials, ("data_path.dials",), None, False, UPSTREAM,
+        formulas.dials_per_s, ("data_path.dials",), None, False, UPSTREAM_POOLS,
     ),
     Row(
         "State of a server", Role.DATA_PATH, Kind.STATE,
@@ -101,18 +103,18 @@
     Row(
         "Memory of a proxy", Role.DATA_PATH, Kind.MEMORY,
         "measured at 680 servers", "MB resident",
-        formulas.proxy_memory, ("data_path.memory",), None, False, SERVE,
+        formulas.proxy_memory, ("data_path.memory",), None, False, LIST_PER_PROCESS,
     ),
     Row(
         "Services, memory", Role.DATA_PATH, Kind.MEMORY,
         "a process for each of 65 services", "MB a host",
-        formulas.services_memory, ("services.memory",), None, False, SERVE,
+        formulas.services_memory, ("services.memory",), None, False, LIST_PER_PROCESS,
         Claim("65 processes, a list each", lambda mb: mb > 65 * 20),
     ),
     Row(
         "Services, idle processor time", Role.DATA_PATH, Kind.PROCESSOR,
         "a process for each of 65 services, no calls, no agreement", "% of a core a host",
-        formulas.services_idle, ("services.idle_cpu",), None, False, SERVE,
+        formulas.services_idle, ("services.idle_cpu",), None, False, LIST_PER_PROCESS,
     ),
     Row(
         "Depth, added time", Role.DATA_PATH, Kind.TIME,
@@ -125,12 +127,12 @@
     Row(
         "Depth, the load's own lateness", Role.DATA_PATH, Kind.TIME,
         "how late a call was sent at most while the rows above were measured", "ms",
-        formulas.depth_late, ("depth.late",), None, False, EVENT_LOOP,
+        formulas.depth_sending_delay, ("depth.late",), None, False, EVENT_LOOP,
     ),
     Row(
         "Depth, attempts of the first call", Role.DATA_PATH, Kind.MESSAGES,
         "measured: at a failing leaf 26 levels deep, retry budgets full", "attempts",
-        formulas.depth_first, ("depth.attempts_first",), None, False, RETRY_BUDGET,
+        formulas.depth_attempts_of_first_request, ("depth.attempts_first",), None, False, RETRY_BUDGET,
         Claim("(1 + 0.1)^26 = 12 attempts a call", lambda attempts: attempts >= 6),
     ),
     Row(
@@ -142,12 +144,12 @@
     Row(
         "Depth, deadline left", Role.DATA_PATH, Kind.TIME,
         "measured: what the leaf 26 levels deep is told of 2,000 ms", "ms",
-        formulas.depth_left, ("depth.left",), None, False, DEADLINE,
+        formulas.depth_deadline_left, ("depth.left",), None, False, DEADLINE,
     ),
     Row(
         "Depth, told refused", Role.DATA_PATH, Kind.MESSAGES,
         "measured: calls answered 503 at the top while the leaf fails", "% of the calls",
-        formulas.depth_refused, ("depth.told_refused",), None, True, RETRY_BUDGET,
+        formulas.depth_refused_percent, ("depth.told_refused",), None, True, RETRY_BUDGET,
     ),
 )  # fmt: skip
 
@@ -156,18 +158,18 @@
         "Before slots: added time at 680 servers", Role.DATA_PATH, Kind.TIME,
         "measured at 294 calls a second, 680 names of ten servers", "ms at the 99th percentile, least round",
         formulas.added_p99_680_before, ("data_path_before.added_p99",), lambda b: b.added_p99_ms, True,
-        UPSTREAM, Claim("300 ms", lambda ms: ms >= 150), "Lists, added time at 680 servers",
+        UPSTREAM_POOLS, Claim("300 ms", lambda ms: ms >= 150), "Lists, added time at 680 servers",
     ),
     Row(
         "Before slots: calls lost at 680 servers", Role.DATA_PATH, Kind.TIME,
         "measured as above", "% of the calls",
-        formulas.lost_680_before, ("data_path_before.lost",), None, True, UPSTREAM,
+        formulas.lost_percent_680_before, ("data_path_before.lost",), None, True, UPSTREAM_POOLS,
         Claim("14% lost", lambda percent: percent >= 7), "Lists, calls lost at 680 servers",
     ),
     Row(
         "Before slots: calls lost at 680 servers with ports of their own", Role.DATA_PATH, Kind.TIME,
         "measured as above, each name with a port", "% of the calls",
-        formulas.lost_own_ports_680_before, ("own_ports_lost_before",), None, True, UPSTREAM,
+        formulas.lost_percent_own_ports_680_before, ("own_ports_lost_before",), None, True, UPSTREAM_POOLS,
         Claim("16% lost", lambda percent: percent >= 8),
         "Lists, calls lost at 680 servers with ports of their own",
     ),
@@ -188,7 +190,7 @@
     Row(
         "Verification of one answer", Role.CONTROL_PART, Kind.PROCESSOR,
         "measured, 128 bytes", "us",
-        formulas.verify_us, ("signature.verify",), None, False, SIGNATURES,
+        formulas.verification_us, ("signature.verify",), None, False, SIGNATURES,
         Claim("170 us, on a machine whose speed changes by half", lambda us: 85 <= us <= 340),
     ),
     Row(
@@ -200,12 +202,13 @@
         "Control part, processor time at the crowded hour, by paired runs", Role.CONTROL_PART, Kind.PROCESSOR,
         "serve with control - serve without, 20 changes a minute", "of a core",
         formulas.control_core_crowded, ("control_part_core_crowded",), lambda b: b.control_core, False,
-        READING,
+        FILE_READING,
     ),
     Row(
         "Control part, memory, by paired runs", Role.CONTROL_PART, Kind.MEMORY,
         "serve with control - serve without", "MB",
-        formulas.control_part_memory, ("control_part_memory",), lambda b: b.control_mb, False, SERVE,
+        formulas.control_part_memory, ("control_part_memory",), lambda b: b.control_mb, False,
+        LIST_PER_PROCESS,
     ),
     Row(
         "Control part, bytes, by paired runs", Role.CONTROL_PART, Kind.MESSAGES,
@@ -215,34 +218,34 @@
     Row(
         "Lists, reading a change", Role.CONTROL_PART, Kind.TIME,
         "ms that the event loop stands still, twice a change", "ms",
-        formulas.read_ms, ("list.policy_read",), None, False, READING,
+        formulas.policy_read_ms, ("list.policy_read",), None, False, FILE_READING,
         Claim("28 ms", lambda ms: 20 <= ms <= 45),
     ),
     Row(
         "Lists, reading a list alone", Role.CONTROL_PART, Kind.TIME,
         "the same of a file without `[policy]`, which is parsed once and not twice", "ms",
-        formulas.list_read_ms, ("list.list_read",), None, False, READING,
+        formulas.list_read_ms, ("list.list_read",), None, False, FILE_READING,
         Claim("28 ms", lambda ms: 20 <= ms <= 45),
     ),
     Row(
         "Lists, added by reading at the crowded hour", Role.CONTROL_PART, Kind.TIME,
         "read x (1 - 0.01 / share of time), share = 2 x read x 20 / 60 s", "ms at the 99th percentile",
-        formulas.read_p99_crowded, ("list.policy_read",), lambda b: b.added_p99_ms, False, READING,
+        formulas.read_p99_crowded, ("list.policy_read",), lambda b: b.added_p99_ms, False, FILE_READING,
     ),
     Row(
         "Lists, added by reading over the day", Role.CONTROL_PART, Kind.TIME,
         "the same, share = 2 x read x 1,600 / 86,400 s", "ms at the 99th percentile",
-        formulas.read_p99_day, ("list.policy_read",), lambda b: b.added_p99_ms, False, READING,
+        formulas.read_p99_day, ("list.policy_read",), lambda b: b.added_p99_ms, False, FILE_READING,
     ),
     Row(
         "Lists, processor time of reading at the crowded hour", Role.CONTROL_PART, Kind.PROCESSOR,
         "2 x read x 20 / 60 s", "of a core",
-        formulas.read_core_crowded, ("list.policy_read",), lambda b: b.control_core, False, READING,
+        formulas.read_core_crowded, ("list.policy_read",), lambda b: b.control_core, False, FILE_READING,
     ),
     Row(
         "Lists, processor time of reading over the day", Role.CONTROL_PART, Kind.PROCESSOR,
         "2 x read x 1,600 / 86,400 s", "of a core",
-        formulas.read_core_day, ("list.policy_read",), lambda b: b.control_core, False, READING,
+        formulas.read_core_day, ("list.policy_read",), lambda b: b.control_core, False, FILE_READING,
     ),
     Row(
         "Lists, bytes fetched at the crowded hour", Role.CONTROL_PART, Kind.MESSAGES,
@@ -253,30 +256,30 @@
         "Services, control processor time", Role.CONTROL_PART, Kind.PROCESSOR,
         "65 processes x leases' processor time", "of a core",
         formulas.services_control_core, ("signature.verify", "agreement.proxy_datagrams"),
-        lambda b: b.control_core, False, SERVE,
+        lambda b: b.control_core, False, LIST_PER_PROCESS,
     ),
     Row(
         "Services, control bytes", Role.CONTROL_PART, Kind.MESSAGES,
         "65 processes x leases' bytes", "bytes a second",
         formulas.services_control_bytes, ("agreement.proxy_bytes",), lambda b: b.control_bytes_per_s, False,
-        SERVE,
+        LIST_PER_PROCESS,
     ),
     Row(
         "Control part, memory", Role.CONTROL_PART, Kind.MEMORY,
         "serve with a vote and 34 instances - serve with a watched list", "MB",
         formulas.control_memory, ("control_machine.memory", "services.memory"), lambda b: b.control_mb,
-        False, SERVE,
+        False, LIST_PER_PROCESS,
     ),
     Row(
         "Services, control memory", Role.CONTROL_PART, Kind.MEMORY,
         "65 x the row above", "MB a host",
         formulas.services_control_memory, ("control_machine.memory", "services.memory"),
-        lambda b: b.control_mb, False, SERVE,
+        lambda b: b.control_mb, False, LIST_PER_PROCESS,
     ),
     Row(
         "Gossip", Role.CONTROL_PART, Kind.STATE,
         "679 others / members that a table holds", "times the table",
-        formulas.gossip_table, ("gossip_table.held",), lambda b: 1.0, False, GOSSIP_TABLE,
+        formulas.members_to_gossip_table_size, ("gossip_table.held",), lambda b: 1.0, False, GOSSIP_TABLE,
         Claim("the table holds 256, fewer than the fleet", lambda times: times > 1),
     ),
     Row(
@@ -290,7 +293,8 @@
     Row(
         "Leases granted", Role.CONTROL_MACHINE, Kind.MESSAGES,
         "instances x 4 / lease, received and sent", "datagrams a second",
-        formulas.grants, ("agreement.control_received", "agreement.control_sent"), None, False, LEASE,
+        formulas.lease_datagrams_per_s, ("agreement.control_received", "agreement.control_sent"), None, False,
+        LEASE,
     ),
     Row(
         "Leases granted, bytes", Role.CONTROL_MACHINE, Kind.MESSAGES,
@@ -306,7 +310,7 @@
     Row(
         "Signature of one answer", Role.CONTROL_MACHINE, Kind.PROCESSOR,
         "measured, 128 bytes", "us",
-        formulas.sign_us, ("signature.sign",), None, False, SIGNATURES,
+        formulas.signature_us, ("signature.sign",), None, False, SIGNATURES,
         Claim("50 us, on a machine whose speed changes by half", lambda us: 25 <= us <= 100),
     ),
     Row(
@@ -317,35 +321,39 @@
     Row(
         "Versions kept", Role.CONTROL_MACHINE, Kind.STATE,
         "20 bodies x bytes of the file", "MB on disk",
-        formulas.versions_kept, ("list.policy_bytes",), None, False, STORE,
+        formulas.stored_versions_mb, ("list.policy_bytes",), None, False, STORE,
     ),
     Row(
         "Datagrams at once", Role.CONTROL_MACHINE, Kind.MESSAGES,
         "measured: of 680 that come while the loop is busy", "% lost, asked again later",
-        formulas.burst_lost, ("burst.lost",), None, False, RECEIVE_BUFFER,
+        formulas.burst_lost_percent, ("burst.lost",), None, False, RECEIVE_BUFFER,
     ),
     Row(
         "Force within 3 s", Role.CONTROL_MACHINE, Kind.TIME,
         "change + lease / (1 - 0.05) + 2 x (read - 5 ms)", "ms",
-        formulas.force, ("lease.last", "list.policy_read"), lambda b: b.in_force_ms, False, LEASE,
+        formulas.change_in_force_ms, ("lease.last", "list.policy_read"), lambda b: b.in_force_ms, False,
+        LEASE,
         Claim("3.16 s, over the budget", lambda ms: ms > 3000),
     ),
     Row(
         "Force within 3 s, a third down", Role.CONTROL_MACHINE, Kind.TIME,
         "the same, those who were heard just now are waited for", "ms",
-        formulas.force_third_down, ("change.third_down_last", "list.policy_read"), lambda b: b.in_force_ms,
+        formulas.change_in_force_third_down_ms, ("change.third_down_last", "list.policy_read"),
+        lambda b: b.in_force_ms,
         False, LEASE,
         Claim("1.5 s more", lambda ms: ms > 4500),
     ),
     Row(
         "Force within 3 s, lease of 1,500 ms", Role.CONTROL_MACHINE, Kind.TIME,
         "as above with a lease of 1,500 ms", "ms",
-        formulas.force_short_lease, ("lease.last", "list.policy_read"), lambda b: b.in_force_ms, False, LEASE,
+        formulas.change_in_force_short_lease_ms, ("lease.last", "list.policy_read"), lambda b: b.in_force_ms,
+        False, LEASE,
     ),
     Row(
         "Force within 3 s, lease of 1,500 ms: datagrams", Role.CONTROL_MACHINE, Kind.MESSAGES,
         "instances x 4 / lease, received and sent", "datagrams a second",
-        formulas.grants_short_lease, ("lease.control_received", "lease.control_sent"), None, False, LEASE,
+        formulas.lease_datagrams_short_lease, ("lease.control_received", "lease.control_sent"), None, False,
+        LEASE,
     ),
     Row(
         "Force within 3 s, lease of 1,500 ms: signatures", Role.CONTROL_MACHINE, Kind.PROCESSOR,
@@ -356,7 +364,7 @@
     Row(
         "Force within 3 s, the lease that fits with a third down", Role.CONTROL_MACHINE, Kind.TIME,
         "(3,000 ms - change - 2 x (read - 5 ms)) x 0.95", "ms",
-        formulas.fitting_lease, ("change.third_down_last", "list.policy_read"), None, False, LEASE,
+        formulas.fitting_lease_ms, ("change.third_down_last", "list.policy_read"), None, False, LEASE,
     ),
     Row(
         "Force within 3 s, that lease: processor time", Role.CONTROL_MACHINE, Kind.PROCESSOR,
@@ -373,18 +381,18 @@
         "Regions", Role.CONTROL_MACHINE, Kind.TIME,
         "slope by seconds of the cut x 180 s - lease, in a region without a majority",
         "s in which every call is refused",
-        formulas.region_refused, ("region_cut.refused_inside",), None, True, ONE_GROUP,
+        formulas.region_refused_s, ("region_cut.refused_inside",), None, True, ONE_GROUP,
         Claim("a region without a majority refuses everything for minutes", lambda s: s >= 60),
     ),
     Row(
         "Regions, real instances", Role.CONTROL_MACHINE, Kind.TIME,
         "measured in a region that is cut off for 180 s", "s without a lease at most",
-        formulas.region_refused_real, ("region_refused_s",), None, True, ONE_GROUP,
+        formulas.region_refused_s_real, ("region_refused_s",), None, True, ONE_GROUP,
     ),
     Row(
         "Change, real instances, last that is up", Role.CONTROL_MACHINE, Kind.TIME,
         "measured at 680 instances", "ms",
-        formulas.change_real, ("change_last_ms_680",), lambda b: b.in_force_ms, False, FAN_OUT,
+        formulas.change_last_ms_real, ("change_last_ms_680",), lambda b: b.in_force_ms, False, FAN_OUT,
     ),
 )  # fmt: skip
 
@@ -392,18 +400,18 @@
     Row(
         "Authors, two at once", Role.AUTHOR, Kind.MESSAGES,
         "measured: proposals a decided change", "proposals",
-        formulas.tries_two, ("authors.tries",), None, False, BALLOTS,
+        formulas.proposals_of_two_authors, ("authors.tries",), None, False, BALLOTS,
         Claim("outvote each other", lambda tries: tries > 1),
     ),
     Row(
         "Authors, five at once", Role.AUTHOR, Kind.MESSAGES,
         "measured: proposals a decided change", "proposals",
-        formulas.tries_five, ("authors.tries",), None, False, BALLOTS,
+        formulas.proposals_of_five_authors, ("authors.tries",), None, False, BALLOTS,
     ),
     Row(
         "Authors, overtaken files", Role.AUTHOR, Kind.TIME,
         "20 wished a minute / decided a minute, five authors of 30 s work each", "times too few",
-        formulas.overtaken, ("overtaken.decided",), lambda b: 1.0, False, AFTER,
+        formulas.wanted_to_decided_changes, ("overtaken.decided",), lambda b: 1.0, False, AFTER_OPTION,
         Claim("spoil each other's", lambda times: times > 1),
     ),
     Row(
@@ -414,7 +422,7 @@
     Row(
         "Change, standstill of its author", Role.AUTHOR, Kind.TIME,
         "680 datagrams signed in one turn of the event loop", "ms, twice a change",
-        formulas.author_block, ("signature.sign",), None, False, FAN_OUT,
+        formulas.author_standstill_ms, ("signature.sign",), None, False, FAN_OUT,
     ),
     Row(
         "Change, processor time of its author", Role.AUTHOR, Kind.PROCESSOR,
@@ -426,12 +434,12 @@
         "Change, bodies refused", Role.AUTHOR, Kind.MESSAGES,
         "32 handed out at a time, the rest are closed on; one instance without the body refuses the change",
         "% of the proposals",
-        formulas.body_refusals, ("body_refusals",), None, False, FETCHERS,
+        formulas.body_refusals, ("body_refusals",), None, False, BODY_READERS,
     ),
     Row(
         "File of a change", Role.AUTHOR, Kind.STATE,
         "bytes of the file, 680 servers", "bytes",
-        formulas.policy_bytes, ("list.policy_bytes",), None, False, READING,
+        formulas.policy_bytes, ("list.policy_bytes",), None, False, FILE_READING,
     ),
     Row(
         "Memory of an author", Role.AUTHOR, Kind.MEMORY,
@@ -444,22 +452,22 @@
     Row(
         "Whole list, bytes", Role.DISCOVERY, Kind.STATE,
         "bytes of the message, 680 servers", "bytes",
-        formulas.discovery_bytes, ("list.discovery_bytes",), None, False, DIRECTORY,
+        formulas.discovery_bytes, ("list.discovery_bytes",), None, False, ENDPOINT_LISTS,
     ),
     Row(
         "Whole lists for a zone that comes back", Role.DISCOVERY, Kind.MESSAGES,
         "113 instances x bytes of the message", "MB",
-        formulas.zone_lists, ("list.discovery_bytes",), None, False, DIRECTORY,
+        formulas.zone_lists_mb, ("list.discovery_bytes",), None, False, ENDPOINT_LISTS,
     ),
     Row(
         "Whole list, reading and applying it", Role.DISCOVERY, Kind.PROCESSOR,
         "ms of the event loop, 680 servers", "ms",
-        formulas.discovery_ms, ("list.discovery_read", "list.apply"), None, False, DIRECTORY,
+        formulas.discovery_ms, ("list.discovery_read", "list.apply"), None, False, ENDPOINT_LISTS,
     ),
     Row(
         "Memory of discovery's service", Role.DISCOVERY, Kind.MEMORY,
         "not part of this program", "MB",
-        formulas.discovery_memory, ("discovery_memory",), None, False, DIRECTORY,
+        formulas.discovery_memory, ("discovery_memory",), None, False, ENDPOINT_LISTS,
     ),
 )  # fmt: skip
 
@@ -472,7 +480,7 @@
     Row(
         "Rollout, reading the agreed file", Role.ROLLOUT, Kind.TIME,
         "ms that each instance's event loop stands still, twice a stage", "ms",
-        formulas.rollout_read, ("rollout.read",), None, False, READING,
+        formulas.rollout_read, ("rollout.read",), None, False, FILE_READING,
     ),
     Row(
         "Rollout, counts told", Role.ROLLOUT, Kind.MESSAGES,
--- a/tests/capacity/__init__.py
+++ b/tests/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of capacity."""
+"""Tests of the formulas and tables of the capacity page."""
--- a/tests/capacity/made.py
+++ b/tests/capacity/made.py
@@ -1,4 +1,4 @@
-"""Slopes with round figures, so that formulas can be computed by hand."""
+"""Builds slopes with round figures, so that the results of formulas can be computed by hand."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def series(at: Mapping[int, float], slope: float = 0.0, intercept: float = 0.0) -> dict[str, Any]:
-    """As `benchmarks.scale` writes one."""
+    """Returns a series in the format that `benchmarks.scale` writes, with the same value in every round."""
     line = {"intercept": intercept, "slope": slope, "slope_error": 0.0, "error": 0.0}
     return {
         "command": "made by hand",
@@ -23,5 +23,5 @@
 
 
 def slopes(**entries: dict[str, Any]) -> Slopes:
-    """By the series' names, with `__` for the point."""
+    """Returns slopes with these series; `__` in a keyword stands for the point in a series' name."""
     return Slopes({name.replace("__", "."): entry for name, entry in entries.items()}, {}, {})
--- a/tests/capacity/test_reads.py
+++ b/tests/capacity/test_reads.py
@@ -1,11 +1,11 @@
-"""How often an instance reads the file of one change: the capacity page's formulas count it."""
+"""An instance reads the file of a change as often as the formulas of the capacity page assume."""
 
 from __future__ import annotations
 
 from collections import Counter
 from pathlib import Path
 
-from benchmarks.capacity.formulas import READS_A_CHANGE
+from benchmarks.capacity.formulas import READS_PER_CHANGE
 from client_proxy.consensus.messages import Version
 from client_proxy.consensus.transport import Validate
 from tests.consensus.transports import Instance, run_with_fleet, wait_until
@@ -28,6 +28,6 @@
         await wait_until(lambda: len(fleet[1].transport.node.lease_requesters) >= 4)
         fleet[1].transport.propose(b"second", "two")
         await wait_until(lambda: all(instance.activated[-1] == (2, b"second") for instance in fleet.values()))
-        assert reads == dict.fromkeys(fleet, READS_A_CHANGE)
+        assert reads == dict.fromkeys(fleet, READS_PER_CHANGE)
 
     run_with_fleet(tmp_path, test)
--- a/tests/capacity/test_scale_report.py
+++ b/tests/capacity/test_scale_report.py
@@ -1,4 +1,4 @@
-"""What is taken from a scale run's report."""
+"""Figures that are extracted from a scale run's report."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from benchmarks.capacity import __main__ as command
 from benchmarks.capacity.failures import FAILURES
 from benchmarks.capacity.rows import ROWS
-from benchmarks.capacity.scale_report import SOURCES, ReportError, runs_of
+from benchmarks.capacity.scale_report import SOURCES, ReportError, extract_runs
 
 
 def figure(name: str, role: str, value: float) -> dict[str, Any]:
@@ -44,42 +44,42 @@
     return made | changed
 
 
-def test_figures_are_taken_in_the_slopes_units() -> None:
-    found = runs_of(report(), 680, "the command")
+def test_figures_are_converted_to_the_units_of_the_slopes() -> None:
+    found = extract_runs(report(), 680, "the command")
     assert set(found) == {"control_part_core", "region_refused_s", "change_last_ms_680"}
     assert found["control_part_core"] == {"command": "the command", "unit": "of a core", "value": 0.005}
     assert found["region_refused_s"]["value"] == 176.0
     assert found["change_last_ms_680"]["value"] == 1200.0
 
 
-def test_a_day_with_losses_is_not_taken_for_one_without() -> None:
+def test_a_day_with_losses_is_not_counted_as_one_without() -> None:
     troubled = {**report()["days"][1], "name": "crowded-troubled"}
-    found = runs_of(report(days=[troubled]), 680, "the command")
+    found = extract_runs(report(days=[troubled]), 680, "the command")
     assert found == {"loss_change_s": {"command": "the command", "unit": "s", "value": 2.4}}
 
 
 @pytest.mark.parametrize("changed", [{"outcome": "refused", "why": "too busy"}, {"instances": 25}])
-def test_runs_that_show_nothing_are_refused(changed: dict[str, Any]) -> None:
+def test_runs_that_failed_or_were_too_small_raise_an_error(changed: dict[str, Any]) -> None:
     with pytest.raises(ReportError, match="two-years"):
-        runs_of(report(**changed), 680, "the command")
+        extract_runs(report(**changed), 680, "the command")
 
 
 def test_every_source_is_needed_by_a_row_or_a_failure() -> None:
     needed = {name for row in ROWS for name in row.needs}
     needed |= {name for failure in FAILURES for name in failure.needs}
-    needed |= {failure.real for failure in FAILURES}
+    needed |= {failure.scale_run_figure for failure in FAILURES}
     assert {source.run for source in SOURCES} <= needed
 
 
-def test_the_command_takes_runs_and_series_into_the_slopes(tmp_path: Path) -> None:
-    slopes, told, series = tmp_path / "slopes.json", tmp_path / "report.json", tmp_path / "series.json"
+def test_the_command_merges_runs_and_series_into_the_slopes(tmp_path: Path) -> None:
+    slopes, report_file, series = tmp_path / "slopes.json", tmp_path / "report.json", tmp_path / "series.json"
     slopes.write_text(
         json.dumps({"series": {}, "runs": {}, "not_measured": {"control_part_core": "due", "new.a": "due"}})
     )
-    told.write_text(json.dumps(report()))
+    report_file.write_text(json.dumps(report()))
     series.write_text(json.dumps({"series": {"old.a": {"command": "run"}, "other.b": {"command": "run"}}}))
-    command.take_runs(slopes, [told], "abc")
-    command.merge(slopes, [series], ["old", "new"], "abc")
+    command.merge_runs(slopes, [report_file], "abc")
+    command.merge_series(slopes, [series], ["old", "new"], "abc")
     kept = json.loads(slopes.read_text())
     assert kept["not_measured"] == {}
     assert kept["runs"]["control_part_core"]["command"].endswith("two-years.toml (on abc)")
