--- a/tests/proxy/test_run_line.py
+++ b/tests/proxy/test_run_line.py
@@ -46,7 +46,11 @@
             tmp_path, listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{registry.port}", known=known
         )
         process = await start_process(
-            "/bin/sh", "-c", run_command("run"), cwd=ROOT, env=guard.hooked(tmp_path, os.environ | env)
+            "/bin/sh",
+            "-c",
+            run_command("run"),
+            cwd=ROOT,
+            env=guard.environment_with_guard(tmp_path, os.environ | env),
         )
         client = await connect_with_retry(port)
         for _ in range(20):
@@ -56,10 +60,10 @@
         for other_client in others:
             assert (await other_client.ask())[0] == 200
         # The shell has replaced itself by `exec`, so the program gets the signals.
-        assert guard.command(process.pid)[1:3] == ["-m", "client_proxy.proxy"]
-        assert any(name.startswith("libc.so") for name in guard.loaded(process.pid))
-        await until(lambda: guard.at_rest(process.pid))  # an idle program uses no CPU time
-        assert not guard.offspring(process.pid)
+        assert guard.command_line(process.pid)[1:3] == ["-m", "client_proxy.proxy"]
+        assert any(name.startswith("libc.so") for name in guard.loaded_libraries(process.pid))
+        await until(lambda: guard.all_threads_sleep(process.pid))  # an idle program uses no CPU time
+        assert not guard.has_had_child(process.pid)
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
         host.stop()
@@ -92,11 +96,11 @@
             way,
             stdin=pipe,
             stdout=pipe,
-            env=guard.hooked(tmp_path, dict(os.environ)),
+            env=guard.environment_with_guard(tmp_path, dict(os.environ)),
         )
         assert process.stdout is not None
         assert await process.stdout.readline() == b"made\n"
-        assert guard.offspring(process.pid)
+        assert guard.has_had_child(process.pid)
         await process.communicate(b"")  # closes its stdin
 
     run(test())
@@ -111,10 +115,10 @@
         process = await start_process(
             *(sys.executable, "-c", f"import os, subprocess; {text}"),
             stderr=asyncio.subprocess.PIPE,
-            env=guard.hooked(tmp_path, dict(os.environ)),
+            env=guard.environment_with_guard(tmp_path, dict(os.environ)),
         )
         _, err = await process.communicate()
-        assert process.returncode == guard.CAUGHT
+        assert process.returncode == guard.GUARD_EXIT_CODE
         assert err.startswith(b"barred: ")
 
     run(test())
--- a/tests/proxy/test_signals.py
+++ b/tests/proxy/test_signals.py
@@ -104,7 +104,7 @@
             env=os.environ | config(tmp_path, port, registry, host),
             stderr=asyncio.subprocess.PIPE,
         )
-        await until(lambda: "client_proxy.proxy" in guard.command(process.pid)[1:])
+        await until(lambda: "client_proxy.proxy" in guard.command_line(process.pid)[1:])
         await survives_signal_series(process, port)
         host.stop()
         registry.stop()
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the tests: small scenarios, a relay, a guard on system calls."""
+"""Test helpers: small scenarios, faulty relays, a guard against child processes, fixed Hypothesis seeds."""
--- a/tests/support/days.py
+++ b/tests/support/days.py
@@ -1,4 +1,4 @@
-"""Small days for tests: one class of each effect, a few servers, written as an operator would."""
+"""Small scenarios for tests, as scenario files: a keyed and an unsafe request class, four servers."""
 
 from __future__ import annotations
 
@@ -62,6 +62,7 @@
     classes: str = CLASSES,
     more: str = "",
 ) -> str:
+    """Returns the text of a small scenario file; `more` is inserted before the first table."""
     return (
         f'name = "small"\nlength_s = {length_s}\nseed = 5\nhalls = ["east", "west"]\nwindow_s = 2\n'
         f"{more}\n[clients]\n{clients}\n{kind}{classes}{servers}{incidents}"
@@ -69,20 +70,22 @@
 
 
 def day(**given: object) -> Scenario:
+    """Returns a small scenario; the arguments are those of `text`."""
     return parse_scenario(text(**given))  # type: ignore[arg-type]
 
 
 def played(**given: object) -> tuple[SimulationResult, Report]:
-    """Such a day, played on the virtual clock."""
+    """Simulates a small scenario on the virtual clock; the arguments are those of `text`."""
     result = simulate(day(**given))
     return result, build_report(result)
 
 
-def incident(what: str, at_s: float, **more: object) -> str:
-    lines = [f'what = "{what}"', f"at_s = {at_s}"]
+def incident(kind: str, at_s: float, **more: object) -> str:
+    """Returns the table of one fault of a scenario file; `more` has its further keys."""
+    lines = [f'what = "{kind}"', f"at_s = {at_s}"]
     for name, value in more.items():
-        told = str(value).replace("'", '"') if not isinstance(value, str) else f'"{value}"'
-        lines.append(f"{name} = {told}")
+        toml_value = str(value).replace("'", '"') if not isinstance(value, str) else f'"{value}"'
+        lines.append(f"{name} = {toml_value}")
     return "\n[[incident]]\n" + "\n".join(lines) + "\n"
 
 
@@ -95,4 +98,4 @@
     + incident("proxy_restart", 3.0, proxies=[0], down_s=0.1)
     + incident("discovery", 2.0, for_s=1.0, mode="reset")
 )
-"""Faults of many kinds at once."""
+"""Incidents of several kinds that overlap in time."""
--- a/tests/support/fixed_draws.py
+++ b/tests/support/fixed_draws.py
@@ -1,8 +1,8 @@
-"""Fixed seeds for property tests, which no longer change with the text of a test.
+"""Fixed seeds for property tests, independent of the source of the test.
 
-Hypothesis' `derandomize` takes its seed from the source of the test, so a renamed variable would draw other
-examples. The seeds here are those that the tests had under their first text. (Hypothesis also draws some
-numbers that it finds in the modules under test; these may still change with them.)
+Hypothesis' `derandomize` derives the seed from the source of the test, so renaming a variable would draw
+other examples. The seeds here are those derived from the first source of each test. Hypothesis also draws
+constants that it finds in the modules under test; these examples may still change with the modules.
 """
 
 from __future__ import annotations
@@ -101,5 +101,7 @@
 
 
 def fixed_draws(name: str) -> Callable[[Any], Any]:
-    """Returns a decorator that gives a property test its own fixed seed, by a name that stays."""
+    """Returns a decorator that gives a property test the fixed seed stored under `name`.
+
+    The name is a key of `SEEDS` and stays when the test is renamed. Raises KeyError for an unknown name."""
     return seed(SEEDS[name])
--- a/tests/support/raw_client.py
+++ b/tests/support/raw_client.py
@@ -1,4 +1,4 @@
-"""A client that writes bytes to an emulated server, and runs of a script on both clocks."""
+"""A client that sends raw bytes to an emulated server, and runs of a test script on both clocks."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from client_proxy.emulator.virtual import Scheduler
 from tests.support.days import UNSAFE, day
 
-LIMIT_S = 20.0
-POLL_S = 0.005
+TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.005
 
 
 class RawClient:
-    """A client that writes what it is told to."""
+    """A connection to an emulated server; tests write bytes to its transport."""
 
     def __init__(self, reader: asyncio.StreamReader, transport: Any) -> None:
         self.reader, self.transport = reader, transport
@@ -32,6 +32,7 @@
         return cls(reader, transport)
 
     async def answer(self) -> int:
+        """Reads one response and returns its status code."""
         head = await self.reader.readuntil(b"\r\n\r\n")
         length = int(head.split(b"Content-Length: ")[1].split(b"\r\n")[0])
         await self.reader.readexactly(length)
@@ -39,6 +40,7 @@
 
 
 def request(id_: str, cls: str = UNSAFE) -> bytes:
+    """Returns the bytes of a request of class `cls` with the trace id `id_`."""
     return f"POST /{cls}/1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {id_}\r\nContent-Length: 4\r\n\r\nform".encode()
 
 
@@ -46,40 +48,45 @@
 
 
 def on_both_clocks(script: Script, **given: object) -> None:
-    small = day(**given)
+    """Runs the script against server east-1 of a small scenario, on the virtual and then on the real clock.
 
-    async def main(stage: Simulation) -> None:
-        stage.prepare()
-        server = stage.servers["east-1"]
+    `given` are the arguments of `tests.support.days.text`. Attempts t0 to t7 are registered beforehand."""
+    scenario = day(**given)
+
+    async def run_script(simulation: Simulation) -> None:
+        simulation.prepare()
+        server = simulation.servers["east-1"]
         server.start(cold=False)
         for number in range(8):
-            stage.event_log.attempts[f"t{number}"] = ClientAttempt(f"t{number}", 0, number, UNSAFE, "k", 10.0)
+            simulation.event_log.attempts[f"t{number}"] = ClientAttempt(
+                f"t{number}", 0, number, UNSAFE, "k", 10.0
+            )
         try:
-            await script(stage, server)
+            await script(simulation, server)
         finally:
-            for each in stage.servers.values():
-                each.close()
+            for emulated_server in simulation.servers.values():
+                emulated_server.close()
 
     scheduler = Scheduler()
     loop = scheduler.new_loop("world")
     network = MemoryNetwork(loop)
-    virtual = Simulation(small, loop)
-    virtual.new_listener = lambda factory: MemoryListener(loop, network, factory)
-    scheduler.run(loop, main(virtual), 1000.0)
+    simulated = Simulation(scenario, loop)
+    simulated.new_listener = lambda factory: MemoryListener(loop, network, factory)
+    scheduler.run(loop, run_script(simulated), 1000.0)
 
-    async def real() -> None:
-        here = asyncio.get_running_loop()
-        stage = Simulation(small, here)
-        stage.new_listener = lambda factory: SocketListener(here, factory, ("127.0.0.1", 0))
-        async with asyncio.timeout(LIMIT_S):
-            await main(stage)
+    async def run_on_real_clock() -> None:
+        running_loop = asyncio.get_running_loop()
+        simulation = Simulation(scenario, running_loop)
+        simulation.new_listener = lambda factory: SocketListener(running_loop, factory, ("127.0.0.1", 0))
+        async with asyncio.timeout(TIMEOUT_S):
+            await run_script(simulation)
 
-    asyncio.run(real())
+    asyncio.run(run_on_real_clock())
 
 
-async def until(holds: Callable[[], bool]) -> None:
-    """Wait until something holds."""
+async def until(condition: Callable[[], bool]) -> None:
+    """Waits until the condition holds, without a time limit of its own."""
     while True:
-        if holds():
+        if condition():
             return
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
