--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes on the wire and on disk that no later version may change."""
+"""Frozen bytes on the wire and on disk, which every later version must read and write unchanged."""
--- a/tests/compatibility/edge_objects.py
+++ b/tests/compatibility/edge_objects.py
@@ -1,7 +1,7 @@
-"""Fixed objects of the formats at the program's edges: each is what its sample holds.
+"""Fixed objects of the program's external formats, each equal to the content of its sample file.
 
-Attributes of the package are named in this module only, as far as possible, so that renaming them
-touches one place. The values here, and the files in `edge_samples`, are never changed."""
+Tests of this package use attributes of the program through this module where possible, so that renaming an
+attribute changes one place. The values here and the files in `edge_samples` must never change."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def sample(name: str) -> bytes:
-    """The checked-in bytes of one sample."""
+    """Returns the checked-in bytes of one sample file."""
     return (SAMPLES / name).read_bytes()
 
 
@@ -43,7 +43,7 @@
 
 
 def gossip_records() -> dict[str, messages.Record]:
-    """One record of each type, by its sample's name, in the order of their kinds on the wire."""
+    """Returns one record of each type by the name of its sample, in the order of their type numbers."""
     seen = (
         messages.ServerObservation(0x11121314, 21, 200, 33, 44, 55, 66),
         messages.ServerObservation(0x21222324, 0, 1, 0, 1, 0, 255),
@@ -65,7 +65,7 @@
 
 
 def gossip_variants() -> dict[str, messages.Record]:
-    """Further forms: empty lists, a member that leaves, an IPv6 address."""
+    """Returns records with further contents: empty lists, a member that leaves, an IPv6 address."""
     return {
         "alive_left": messages.Alive(1, 2, 3, "2001:db8::1", 1, True, SIGNATURE),
         "testimony_empty": messages.ObservationReport(1, 2, 3, (), SIGNATURE),
@@ -76,7 +76,7 @@
 
 
 def gossip_card() -> messages.Certificate:
-    """A card signed by the fixed authority (Ed25519 signatures are deterministic)."""
+    """Returns a certificate signed by the fixed authority; Ed25519 signatures are deterministic."""
     public = keys.Ed25519(MEMBER_SECRET).public_key
     return keys.issue_certificate(keys.Ed25519(AUTHORITY_SECRET), 9, 0x01020304, "east", 5, public)
 
@@ -98,7 +98,10 @@
 def gossip_keyring_fields(
     text: str,
 ) -> tuple[messages.Certificate, bytes, dict[int, bytes], dict[int, bytes], int]:
-    """What a key file says: card, own public key, group keys, authorities, number of the key to send with."""
+    """Parses a key file.
+
+    Returns the certificate, the member's public key, the group keys, the authorities' keys, and the number of
+    the group key to send with."""
     keyring = keys.parse_keyring(text, "keys.toml")
     return (
         keyring.certificate,
@@ -109,7 +112,7 @@
     )
 
 
-# Settings files: what was parsed, as JSON by the file's keys.
+# Settings files: the parsed objects as JSON, with the keys of the file.
 
 FILE_KEYS: dict[str, dict[str, str]] = {
     "OutlierSettings": {
@@ -254,27 +257,28 @@
         "max_dials_per_s": "opens_per_s",
     },
 }
-"""By dataclass, attributes whose name is not that of their key."""
+"""For each dataclass, the attributes whose name differs from their key in the file."""
 
 
-def values(parsed: object) -> Any:
-    """A parsed object as JSON values, keyed by the names that stand in the file."""
+def json_values(parsed: object) -> Any:
+    """Converts a parsed object to JSON values, with the keys that the file uses."""
     if isinstance(parsed, BaseModel):
         return {
-            field.alias or name: values(getattr(parsed, name))
+            field.alias or name: json_values(getattr(parsed, name))
             for name, field in type(parsed).model_fields.items()
         }
     if is_dataclass(parsed):
         keys_of = FILE_KEYS.get(type(parsed).__name__, {})
         return {
-            keys_of.get(each.name, each.name): values(getattr(parsed, each.name)) for each in fields(parsed)
+            keys_of.get(each.name, each.name): json_values(getattr(parsed, each.name))
+            for each in fields(parsed)
         }
     if isinstance(parsed, Enum):
         return parsed.value
     if isinstance(parsed, dict):
-        return {key: values(value) for key, value in parsed.items()}
+        return {key: json_values(value) for key, value in parsed.items()}
     if isinstance(parsed, tuple | list):
-        return [values(value) for value in parsed]
+        return [json_values(value) for value in parsed]
     return parsed
 
 
@@ -300,22 +304,23 @@
     "scale_minimal.toml": lambda text: models.parse(scale.ScalePlan, text, "scale.toml"),
 }
 
-FAULTY: dict[str, Callable[[str], object]] = {
+FAULTY_PARSERS: dict[str, Callable[[str], object]] = {
     "serve_faulty.toml": PARSERS["serve_minimal.toml"],
     "operators_faulty.toml": PARSERS["operators_minimal.toml"],
 }
 
 
 def parsed_json(name: str) -> bytes:
+    """Parses the sample of this name and returns the values as JSON, as in its frozen values file."""
     parsed = PARSERS[name](sample(name).decode())
-    return (json.dumps(values(parsed), indent=1) + "\n").encode()
+    return (json.dumps(json_values(parsed), indent=1) + "\n").encode()
 
 
 def day_text(text: str) -> str:
-    """A scenario file, read and written again."""
+    """Parses a scenario file and formats it again."""
     return scenario_writer.format_scenario(scenario_reader.parse_scenario(text, "day.toml"))
 
 
 def drill_text(text: str) -> str:
-    """A drill plan, read and written again."""
+    """Parses a drill plan and formats it again."""
     return drill.format_plan(models.parse(drill.Plan, text, "drill.toml"))
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -1,7 +1,6 @@
-"""Fixed objects, with a value other than the default in every field, for the frozen samples.
+"""Fixed objects, with a value other than the default in every field, that are equal to the frozen samples.
 
-The samples themselves are files in `state_samples`. Nothing here writes them: a changed
-encoding has to fail."""
+The samples are files in `state_samples`. No code writes them, so that a changed encoding fails a test."""
 
 from __future__ import annotations
 
@@ -53,30 +52,32 @@
 
 # Consensus
 
-SEATS = (AcceptorId(1, 11), AcceptorId(2, 12), AcceptorId(3, 13))
-VERSION = Version(70, BODY_DIGEST, SEATS, 2, "change-4", "operator", "more servers, größer")
-NEXT_VERSION = Version(71, "0123456789abcdef0123456789abcdef", SEATS[:2], 3, "change-5", "someone", "fewer")
+ACCEPTOR_IDS = (AcceptorId(1, 11), AcceptorId(2, 12), AcceptorId(3, 13))
+VERSION = Version(70, BODY_DIGEST, ACCEPTOR_IDS, 2, "change-4", "operator", "more servers, größer")
+NEXT_VERSION = Version(
+    71, "0123456789abcdef0123456789abcdef", ACCEPTOR_IDS[:2], 3, "change-5", "someone", "fewer"
+)
 BALLOT = Ballot(4, 2, 99_000)
 LOWER_BALLOT = Ballot(3, 1, 88_000)
 
 
-def signed_vote(seat: AcceptorId) -> Vote:
-    """The signature by the seat's fixed test key (Ed25519 is deterministic)."""
-    signer = derive_keyring(KEY_SEED, seat.member, "h").signer
-    return Vote(seat, signer.sign(vote_content(BALLOT, VERSION, seat)))
+def sign_vote(acceptor_id: AcceptorId) -> Vote:
+    """Returns a vote signed with the acceptor's fixed test key; Ed25519 signatures are deterministic."""
+    signer = derive_keyring(KEY_SEED, acceptor_id.member, "h").signer
+    return Vote(acceptor_id, signer.sign(vote_content(BALLOT, VERSION, acceptor_id)))
 
 
-DECIDED = Decided(VERSION, BALLOT, (signed_vote(SEATS[0]), signed_vote(SEATS[2])))
+DECIDED = Decided(VERSION, BALLOT, (sign_vote(ACCEPTOR_IDS[0]), sign_vote(ACCEPTOR_IDS[2])))
 
 MESSAGES: dict[str, Message] = {
     "decided": DECIDED,
     "prepare": Prepare(71, BALLOT),
-    "promise": Promise(71, BALLOT, SEATS[1], LOWER_BALLOT, NEXT_VERSION),
+    "promise": Promise(71, BALLOT, ACCEPTOR_IDS[1], LOWER_BALLOT, NEXT_VERSION),
     "accept": Accept(BALLOT, VERSION),
-    "accepted": Accepted(70, BALLOT, signed_vote(SEATS[1])),
+    "accepted": Accepted(70, BALLOT, sign_vote(ACCEPTOR_IDS[1])),
     "outvoted": Nack(71, LOWER_BALLOT, BALLOT),
     "ask": LeaseRequest(70, 2**61 + 5, BODY_DIGEST),
-    "grant": LeaseGrant(70, 2**61 + 6, SEATS[2]),
+    "grant": LeaseGrant(70, 2**61 + 6, ACCEPTOR_IDS[2]),
     "busy": LeaseDenied(70, 2**61 + 7),
     "behind": CatchUp(69),
     "check": ValidationRequest("change-5", NEXT_VERSION),
@@ -84,7 +85,7 @@
     "tally": OutcomeReport(70, 2**60 + 8, "hall-a", {"class-a": (300, 7), "class-b": (70_000, 0)}),
 }
 
-# Fields with a default left out, as they stand in the array on the wire.
+# Arrays as on the wire, with the fields that have a default left out.
 MINIMAL_VERSION = [70, "d", [[1, 11]]]
 MINIMAL_MESSAGES: dict[str, list[object]] = {
     "decided": ["D", MINIMAL_VERSION, [], [[[1, 11]]]],
@@ -93,17 +94,17 @@
     "checked": ["c", "change-5"],
 }
 
-MEMORY = AcceptorState(SEATS[0], DECIDED, BALLOT, LOWER_BALLOT, NEXT_VERSION)
-MINIMAL_MEMORY = [[1, 11], MINIMAL_MESSAGES["decided"]]
-PAST = [
-    Decided(Version(number, BODY_DIGEST, SEATS, 1, f"change-{number}", "operator", "why"), BALLOT, ())
+ACCEPTOR_STATE = AcceptorState(ACCEPTOR_IDS[0], DECIDED, BALLOT, LOWER_BALLOT, NEXT_VERSION)
+MINIMAL_ACCEPTOR_STATE = [[1, 11], MINIMAL_MESSAGES["decided"]]
+PAST_VERSIONS = [
+    Decided(Version(number, BODY_DIGEST, ACCEPTOR_IDS, 1, f"change-{number}", "operator", "why"), BALLOT, ())
     for number in (62, 63, 64)
 ]
 
 
-# Learned state
+# Warm state
 
-SAVED = StoredSnapshot(
+STORED_SNAPSHOT = StoredSnapshot(
     1_700_000_000_123.5,
     Snapshot(
         form=1,
@@ -151,8 +152,8 @@
     "faded_ms": -1.0,
     "credit": -1.0,
 }
-MINIMAL_SAVED = {"at_ms": 5.0, "learned": {}}
-UNKNOWN_KEYS_SAVED = {
+MINIMAL_STORED_SNAPSHOT = {"at_ms": 5.0, "learned": {}}
+STORED_SNAPSHOT_WITH_UNKNOWN_KEYS = {
     "at_ms": 5.0,
     "later": 1,
     "learned": {
--- a/tests/compatibility/test_consensus_datagrams.py
+++ b/tests/compatibility/test_consensus_datagrams.py
@@ -1,4 +1,4 @@
-"""Bytes of consensus messages, of the datagrams that carry them, and of the transfer of bodies."""
+"""Consensus messages, their datagrams and the transfer of bodies have the frozen bytes."""
 
 from __future__ import annotations
 
@@ -33,29 +33,29 @@
 from client_proxy.consensus.transport import ConsensusTransport
 from client_proxy.emulator.simulated_keys import derive_keyring
 from tests.compatibility.samples import (
+    ACCEPTOR_IDS,
+    ACCEPTOR_STATE,
     BALLOT,
     BODY,
     BODY_DIGEST,
     DECIDED,
     KEY_SEED,
-    MEMORY,
     MESSAGES,
     MINIMAL_MESSAGES,
-    SEATS,
     VERSION,
     sample,
 )
 
 ADDRESS = ("127.0.0.1", 1)
-KEYS = {seat.member: derive_keyring(KEY_SEED, seat.member, "h") for seat in SEATS}
+KEYS = {acceptor_id.member: derive_keyring(KEY_SEED, acceptor_id.member, "h") for acceptor_id in ACCEPTOR_IDS}
 PEERS = {member: Peer(member, ADDRESS, keys.signer.public_key) for member, keys in KEYS.items()}
 ACCEPTOR_MEMBER = 1
-OTHER_MEMBER = 4  # has no acceptor: its datagrams carry zeros in the place of a signature
+OTHER_MEMBER = 4  # a member without an acceptor: its datagrams have zeros instead of a signature
 RECEIVER = 2
 
 
 class RecordingPort:
-    """Takes the place of the UDP port."""
+    """Replaces the UDP port and records the sent datagrams."""
 
     def __init__(self) -> None:
         self.sent: list[bytes] = []
@@ -68,15 +68,22 @@
 
 
 class RecordingTransport(ConsensusTransport):
-    """Records what was received in place of acting on it."""
+    """A transport that records received messages instead of handling them."""
 
     def __init__(self, folder: Path, member: int) -> None:
         ring = derive_keyring(KEY_SEED, member, "h")
         verify = acceptor_verifier(PEERS, ring)
-        genesis = Decided(Version(1, BODY_DIGEST, SEATS), Ballot(), ())
-        memory = AcceptorState(AcceptorId(member, 1), genesis) if member in PEERS else None
+        genesis = Decided(Version(1, BODY_DIGEST, ACCEPTOR_IDS), Ballot(), ())
+        acceptor_state = AcceptorState(AcceptorId(member, 1), genesis) if member in PEERS else None
         node = Node(
-            member, genesis, memory, LeaseSettings(600.0, 100.0), ring.signer.sign, verify, member, member
+            member,
+            genesis,
+            acceptor_state,
+            LeaseSettings(600.0, 100.0),
+            ring.signer.sign,
+            verify,
+            member,
+            member,
         )
         super().__init__(
             node,
@@ -112,7 +119,7 @@
 
 
 class RecordingWriter:
-    """Takes the place of the stream to the instance that asked."""
+    """Replaces the stream to the instance that requested a body, and records what is written."""
 
     def __init__(self) -> None:
         self.written = b""
@@ -128,17 +135,17 @@
         self.closed = True
 
 
-def test_every_type_of_message_has_a_sample() -> None:
+def test_every_message_type_has_a_sample() -> None:
     assert {type(message) for message in MESSAGES.values()} == set(get_args(Message))
 
 
-@pytest.mark.parametrize("message", [*MESSAGES.values(), MEMORY, VERSION, BALLOT, DECIDED.votes[0]])
+@pytest.mark.parametrize("message", [*MESSAGES.values(), ACCEPTOR_STATE, VERSION, BALLOT, DECIDED.votes[0]])
 def test_every_field_of_a_sample_differs_from_its_default(message: msgspec.Struct) -> None:
     for field in msgspec.structs.fields(message):
         assert getattr(message, field.name) != field.default, field.name
 
 
-def test_every_type_with_a_default_has_a_minimal_sample() -> None:
+def test_every_message_type_with_a_default_has_a_minimal_sample() -> None:
     with_default = {
         name
         for name, message in MESSAGES.items()
@@ -148,17 +155,17 @@
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_a_message_is_its_sample(name: str) -> None:
+def test_a_message_encodes_to_and_decodes_from_its_sample(name: str) -> None:
     assert encode(MESSAGES[name]) == sample(f"message-{name}.msgpack")
     assert decode(sample(f"message-{name}.msgpack")) == MESSAGES[name]
 
 
 @pytest.mark.parametrize("name", MINIMAL_MESSAGES)
-def test_a_minimal_message_is_its_sample(name: str) -> None:
+def test_a_minimal_message_encodes_to_its_sample(name: str) -> None:
     assert msgspec.msgpack.encode(MINIMAL_MESSAGES[name]) == sample(f"minimal-{name}.msgpack")
 
 
-def test_the_defaults_of_what_a_message_leaves_out() -> None:
+def test_fields_left_out_of_a_message_get_their_defaults() -> None:
     decided = decode(sample("minimal-decided.msgpack"))
     assert isinstance(decided, Decided)
     version, ballot = decided.version, decided.ballot
@@ -176,29 +183,29 @@
     assert checked.reason == ""
 
 
-def test_what_a_vote_signs() -> None:
-    paper = vote_content(BALLOT, VERSION, SEATS[0])
-    assert paper == sample("vote-signed-content.bin")
-    assert KEYS[1].signer.sign(paper) == sample("vote-signature.bin")
-    before = Version(69, "before", SEATS)
+def test_a_vote_signs_the_frozen_content() -> None:
+    content = vote_content(BALLOT, VERSION, ACCEPTOR_IDS[0])
+    assert content == sample("vote-signed-content.bin")
+    assert KEYS[1].signer.sign(content) == sample("vote-signature.bin")
+    before = Version(69, "before", ACCEPTOR_IDS)
     stored = decode(sample("message-decided.msgpack"))
     assert isinstance(stored, Decided)
     assert is_decided(stored, before, acceptor_verifier(PEERS, KEYS[1]))
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_a_signed_datagram_is_its_sample(name: str, tmp_path: Path) -> None:
+def test_a_signed_datagram_equals_its_sample(name: str, tmp_path: Path) -> None:
     stored = sample(f"datagram-signed-{name}.bin")
     assert RecordingTransport(tmp_path / "sender", ACCEPTOR_MEMBER).sent_datagram(MESSAGES[name]) == stored
     receiver = RecordingTransport(tmp_path / "receiver", RECEIVER)
     assert receiver.receive(stored) == [(ACCEPTOR_MEMBER, MESSAGES[name])]
     for position in (0, 10, 80, len(stored) - 1):
-        spoilt = bytearray(stored)
-        spoilt[position] ^= 1
-        assert receiver.receive(bytes(spoilt)) == []
+        corrupted = bytearray(stored)
+        corrupted[position] ^= 1
+        assert receiver.receive(bytes(corrupted)) == []
 
 
-def test_a_datagram_without_a_signature_is_its_sample(tmp_path: Path) -> None:
+def test_an_unsigned_datagram_equals_its_sample(tmp_path: Path) -> None:
     stored = sample("datagram-unsigned-tally.bin")
     sender = RecordingTransport(tmp_path / "sender", OTHER_MEMBER)
     assert sender.sent_datagram(MESSAGES["tally"]) == stored
@@ -206,7 +213,7 @@
     assert receiver.receive(stored) == [(OTHER_MEMBER, MESSAGES["tally"])]
 
 
-def test_a_body_is_asked_for_by_the_sample_and_read_from_it(tmp_path: Path) -> None:
+def test_a_body_is_requested_and_read_with_the_frozen_bytes(tmp_path: Path) -> None:
     async def run() -> None:
         requests: list[bytes] = []
 
@@ -225,7 +232,7 @@
     asyncio.run(run())
 
 
-def test_a_body_is_answered_by_the_sample(tmp_path: Path) -> None:
+def test_a_body_request_is_answered_with_the_frozen_bytes(tmp_path: Path) -> None:
     async def answer(transport: RecordingTransport, request: bytes) -> bytes:
         reader, writer = asyncio.StreamReader(), RecordingWriter()
         reader.feed_data(request)
--- a/tests/compatibility/test_gossip_datagrams.py
+++ b/tests/compatibility/test_gossip_datagrams.py
@@ -1,4 +1,4 @@
-"""The datagrams of gossip and the key file: the bytes of every record type, and what is signed in them."""
+"""Gossip datagrams, the signed bytes of records and the key file are those of the frozen samples."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
     )
 
 
-def test_kinds_are_numbered_from_one_in_the_order_of_the_samples() -> None:
+def test_record_types_are_numbered_from_one_in_the_order_of_the_samples() -> None:
     kinds = [codec.pack_record(record)[0] for record in objects.gossip_records().values()]
     assert kinds == list(range(1, 13))
 
 
 @pytest.mark.parametrize("name", RECORDS)
-def test_record_encodes_to_the_sample(name: str) -> None:
+def test_a_record_encodes_to_its_sample(name: str) -> None:
     assert encoded(RECORDS[name]) == objects.sample(f"gossip_{name}.bin")
 
 
 @pytest.mark.parametrize("name", RECORDS)
-def test_sample_decodes_to_the_record(name: str) -> None:
+def test_a_sample_decodes_to_its_record(name: str) -> None:
     datagram = codec.decode(
         objects.sample(f"gossip_{name}.bin"), {objects.GROUP_KEY_NUMBER: objects.GROUP_KEY}
     )
     assert datagram == messages.Datagram(objects.gossip_header(), (RECORDS[name],))
 
 
-def test_several_records_stand_in_one_datagram() -> None:
+def test_a_datagram_with_several_records_equals_its_sample() -> None:
     names = ("ping", "suspect", "have")
     packed = [codec.pack_record(RECORDS[name]) for name in names]
     data = objects.sample("gossip_several.bin")
@@ -49,14 +49,14 @@
     assert decoded.records == tuple(RECORDS[name] for name in names)
 
 
-def test_empty_datagram_is_the_header_and_the_code() -> None:
+def test_an_empty_datagram_has_only_the_header_and_the_mac() -> None:
     data = objects.sample("gossip_empty.bin")
     assert codec.encode(objects.gossip_header(), [], objects.GROUP_KEY) == data
     assert data[:14].hex() == "01070102030405060708090a0b0c"
     assert len(data) == 30
 
 
-def test_signed_bytes_of_records_are_the_samples() -> None:
+def test_signed_bytes_of_records_equal_the_sample() -> None:
     card, alive, testimony = RECORDS["card"], RECORDS["alive"], RECORDS["testimony"]
     assert isinstance(card, messages.Certificate)
     assert isinstance(alive, messages.Alive)
@@ -65,7 +65,7 @@
     assert signed == objects.sample("gossip_signed_parts.bin")
 
 
-def test_names_have_fixed_tags() -> None:
+def test_names_and_classes_have_the_frozen_tags() -> None:
     assert (
         messages.name_tag("east"),
         messages.name_tag(""),
@@ -77,7 +77,7 @@
 NAME_TAGS = (1391489393, 309448485, 120, 47)
 
 
-def test_limits_of_a_datagram() -> None:
+def test_datagram_limits_are_frozen() -> None:
     assert (
         codec.VERSION,
         codec.MAX_DATAGRAM_BYTES,
@@ -95,11 +95,11 @@
     assert list_limits == (16, 8, 24, 32, 10)
 
 
-def test_key_file_is_written_as_the_sample() -> None:
+def test_the_key_file_is_written_as_the_sample() -> None:
     assert objects.gossip_keyring_text().encode() == objects.sample("gossip_keys.toml")
 
 
-def test_key_file_is_read_as_what_it_was_made_from() -> None:
+def test_the_key_file_parses_to_the_objects_it_was_written_from() -> None:
     text = objects.sample("gossip_keys.toml").decode()
     card, public, groups, authorities, sends_with = objects.gossip_keyring_fields(text)
     assert card == objects.gossip_card()
--- a/tests/compatibility/test_policy_files.py
+++ b/tests/compatibility/test_policy_files.py
@@ -1,4 +1,4 @@
-"""Bytes and keys of the files of servers, of the policy, and of a rollout inside the agreed policy."""
+"""Files of servers, policies and rollouts keep the frozen bytes, keys and defaults."""
 
 from __future__ import annotations
 
@@ -62,11 +62,11 @@
 )
 
 
-def test_the_digest_of_a_body() -> None:
+def test_the_digest_of_a_body_is_frozen() -> None:
     assert digest_of(BODY) == BODY_DIGEST
 
 
-def test_a_sealed_file_is_its_sample(tmp_path: Path) -> None:
+def test_sealing_a_file_gives_its_sample(tmp_path: Path) -> None:
     stored = sample("fleet-sealed.toml")
     assert seal(UNSEALED, SEALED_VERSION) == stored
     assert seal(stored, SEALED_VERSION) == stored
@@ -77,14 +77,14 @@
     assert path.read_bytes() == stored
 
 
-def test_a_sealed_file_is_read_from_its_sample() -> None:
+def test_a_sealed_file_is_read_and_a_changed_one_raises_an_error() -> None:
     stored = sample("fleet-sealed.toml")
     assert read_server_list(stored, "x") == ServerList(digest_of(stored), 7, True, (MINIMAL_SERVER,), stored)
     with pytest.raises(TomlError):
         read_server_list(stored.replace(b"10.0.0.1", b"10.0.0.2"), "x")
 
 
-def test_a_minimal_file_of_servers() -> None:
+def test_a_minimal_file_of_servers_is_read() -> None:
     assert sample("store-body.bin") == BODY
     assert read_server_list(BODY, "x") == ServerList(BODY_DIGEST, None, False, (MINIMAL_SERVER,), BODY)
 
@@ -135,11 +135,11 @@
     )
 
 
-def test_the_names_of_features_that_a_policy_states() -> None:
+def test_the_feature_names_of_a_policy_are_frozen() -> None:
     assert FEATURES == ("halls", "overload", "connections", "reach")
 
 
-def test_the_defaults_of_what_a_policy_leaves_out() -> None:
+def test_keys_left_out_of_a_policy_get_their_defaults() -> None:
     policy = read_policy(sample("policy-minimal.toml"), "x")
     assert policy.server_list.servers == (MINIMAL_SERVER,)
     assert policy.server_list.version is None
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(("name", "table"), [("full", ROLLOUT), ("minimal", MINIMAL_ROLLOUT)])
-def test_a_rollout_in_the_agreed_policy_is_its_sample(name: str, table: RolloutTable) -> None:
+def test_a_rollout_in_the_agreed_policy_equals_its_sample(name: str, table: RolloutTable) -> None:
     stored = sample(f"rollout-{name}.toml")
     assert with_rollout(OLD_POLICY, table).encode() == stored
     assert without_rollout(stored.decode()).rstrip("\n") == OLD_POLICY.rstrip("\n")
@@ -190,7 +190,7 @@
     assert policy.candidate.server_list.content == NEW_POLICY.encode()
 
 
-def test_the_defaults_of_what_a_rollout_leaves_out() -> None:
+def test_keys_left_out_of_a_rollout_get_their_defaults() -> None:
     table = read_policy(sample("rollout-minimal.toml"), "x").rollout
     assert table is not None
     assert table.model_dump() == {
@@ -214,27 +214,29 @@
     }
 
 
-def test_the_operators_plan_of_a_rollout() -> None:
-    stated = set(RolloutPlan.model_fields)
+def test_a_rollout_plan_is_read_and_gets_its_defaults() -> None:
+    plan_keys = set(RolloutPlan.model_fields)
     assert parse(RolloutPlan, sample("rollout-plan.toml").decode(), "x") == RolloutPlan(
-        **ROLLOUT.model_dump(include=stated)
+        **ROLLOUT.model_dump(include=plan_keys)
     )
-    unstated = parse(RolloutPlan, "", "x").model_dump()
-    assert unstated == MINIMAL_ROLLOUT.model_dump(include=stated)
+    defaults = parse(RolloutPlan, "", "x").model_dump()
+    assert defaults == MINIMAL_ROLLOUT.model_dump(include=plan_keys)
 
 
-def test_a_rollout_that_is_begun_paused_and_taken_back_is_its_sample() -> None:
+def test_starting_pausing_and_rolling_back_a_rollout_gives_the_samples() -> None:
     async def run() -> None:
-        told: list[OutcomeReport] = []
-        executor = RolloutExecutor("h", 5, lambda: 100.0, told.append, lambda body, why: None, lambda: True)
-        begun = executor.started_file(OLD_POLICY, MINIMAL_ROLLOUT)
-        assert begun == sample("rollout-minimal.toml")
+        reports: list[OutcomeReport] = []
+        executor = RolloutExecutor(
+            "h", 5, lambda: 100.0, reports.append, lambda body, why: None, lambda: True
+        )
+        started = executor.started_file(OLD_POLICY, MINIMAL_ROLLOUT)
+        assert started == sample("rollout-minimal.toml")
         full = sample("rollout-full.toml")
         executor.activate_version(70, read_policy(full, "x"), full)
         paused, reason = executor.apply_order("pause")
         assert (paused, reason) == (sample("rollout-paused.toml"), "rollout try: pause")
-        back, reason = executor.apply_order("back")
-        assert (back, reason) == (sample("rollout-back.toml"), "rollout try: back")
+        rolled_back, reason = executor.apply_order("back")
+        assert (rolled_back, reason) == (sample("rollout-back.toml"), "rollout try: back")
         executor.close()
 
     asyncio.run(run())
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: a recorded stream of events, and the answers that it was given."""
+"""The adapter answers a recorded stream of the simulator's events with the frozen bytes."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
     "head_received", "left", "health_result",
 }  # fmt: skip
 
-GIVE_IN = '{"n":1,"groups":[{"who":"proxy_0","cmds":[{"give_in":{"message":"%s"}}]}]}'
-TWICE = GIVE_IN % "ValueError: request 1 arrived twice"
-BACKWARDS = GIVE_IN % "ValueError: time ran backwards: -1.0 after 10"
+ERROR_REPLY = '{"n":1,"groups":[{"who":"proxy_0","cmds":[{"give_in":{"message":"%s"}}]}]}'
+DUPLICATE_REQUEST = ERROR_REPLY % "ValueError: request 1 arrived twice"
+TIME_BACKWARDS = ERROR_REPLY % "ValueError: time ran backwards: -1.0 after 10"
 
 
-def recorded() -> list[dict[str, Any]]:
+def recorded_batches() -> list[dict[str, Any]]:
+    """Returns the recorded batches of events."""
     return [json.loads(line) for line in objects.sample("simulator_events.jsonl").splitlines()]
 
 
-def test_recorded_stream_is_answered_byte_for_byte() -> None:
+def test_the_recorded_stream_is_answered_with_the_frozen_bytes() -> None:
     lines = objects.sample("simulator_events.jsonl").decode().splitlines(keepends=True)
     answers, errors = io.StringIO(), io.StringIO()
     assert adapter.serve(lines, answers, errors) == 0
@@ -33,8 +34,8 @@
     assert errors.getvalue() == "adapter: unknown event 'weather' ignored\n"
 
 
-def test_recorded_stream_contains_every_kind_of_event() -> None:
-    news = [message for batch in recorded() for group in batch["groups"] for message in group["news"]]
+def test_the_recorded_stream_has_every_kind_of_event() -> None:
+    news = [message for batch in recorded_batches() for group in batch["groups"] for message in group["news"]]
     kinds = {kind for message in news for kind in message}
     assert kinds == EVENT_KINDS | {"weather"}
     assert set(adapter.EVENTS) <= EVENT_KINDS
@@ -44,7 +45,7 @@
     assert scopes == {"update", "replace", "restored", "unavailable"} == set(adapter.LIST_KINDS)
 
 
-def test_every_action_has_its_frozen_form() -> None:
+def test_every_action_is_written_in_its_frozen_form() -> None:
     actions: dict[api.Action, str] = {
         api.Send(5, "h", 80.0): '{"try": {"handle": 5, "host": "h", "max_wait_ms": 80.0}}',
         api.SetTimer(9.0, 77): '{"defer": {"in_ms": 9.0, "cookie": 77}}',
@@ -62,8 +63,8 @@
 
 
 def first_request_batches() -> list[dict[str, Any]]:
-    """The recorded batches up to the first one with a request."""
-    batches = recorded()
+    """Returns the recorded batches up to the first one with a request."""
+    batches = recorded_batches()
     last = next(
         number
         for number, batch in enumerate(batches)
@@ -73,18 +74,18 @@
 
 
 def answer_to_misuse(change: dict[str, Any]) -> str:
-    """The last reply when the batch with the first request comes again, changed."""
+    """Sends the batch with the first request again, with `change` applied, and returns the last reply."""
     batches = first_request_batches()
-    again = json.loads(json.dumps(batches[-1])) | change
-    again["groups"] = [
+    repeated = json.loads(json.dumps(batches[-1])) | change
+    repeated["groups"] = [
         {**group, "news": [message for message in group["news"] if "new_request" in message]}
-        for group in again["groups"]
+        for group in repeated["groups"]
     ]
     answers, errors = io.StringIO(), io.StringIO()
-    assert adapter.serve([json.dumps(batch) for batch in [*batches, again]], answers, errors) == 1
+    assert adapter.serve([json.dumps(batch) for batch in [*batches, repeated]], answers, errors) == 1
     return answers.getvalue().splitlines()[-1]
 
 
-def test_misuse_of_a_balancer_is_told_in_the_frozen_words() -> None:
-    assert answer_to_misuse({}) == TWICE
-    assert answer_to_misuse({"ts_ms": -1.0}) == BACKWARDS
+def test_misuse_of_a_balancer_is_reported_with_the_frozen_message() -> None:
+    assert answer_to_misuse({}) == DUPLICATE_REQUEST
+    assert answer_to_misuse({"ts_ms": -1.0}) == TIME_BACKWARDS
