--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Long measurements: commands that print their seed, the machine's cores and JSON. No part of the tests."""
+"""Long measurements, run as commands that print JSON with their seed and the machine's cores; not tests."""
--- a/benchmarks/cold_sums.py
+++ b/benchmarks/cold_sums.py
@@ -1,17 +1,20 @@
-"""What all proxies together send to servers that have just started, beside what the rule allows.
+"""Compares what all proxies together send to servers that have just started with what the rule allows.
 
     python -m benchmarks.cold_sums [--proxies 3 20 30 200] [--seeds 6] [--length 16] [--jobs 4]
 
-The day `join-many` on the virtual clock: six servers in ten are replaced within 7 s, instances have uneven
-traffic. Servers begin colder, and the rule allows less, than at any site so far; the load is the same for
-each number of proxies. Played as it is, and with a third of the proxies restarted one after the other while
-those servers are cold, with the platform's own operators' file. For each server and each span of `fall_ms`
-after its start: the work that arrived, in requests of mean work, beside N, what the settings allow then
-(`fall_multiple` x the share of its capacity that it surely has x the span), and the excess as a part of
-what is put down to chance, 2 x root of N + 2. Above 1 a server may fall. Prints, by number of proxies and
-restarts, the highest excess of each server's life as a distribution (median, 95 in 100, largest), how many
-lives went above 0 and above 1, falls (the emulator's servers allow nothing for chance), and the worth
-served, as JSON.
+Simulates the scenario `join-many` on the virtual clock: six of ten servers are replaced within 7 s, and the
+proxies have uneven traffic. Servers start with less capacity, and the rule allows less, than at any known
+site; the load is the same for each number of proxies. Each case runs once as it is and once with a third of
+the proxies restarted one after the other during slow start, with the platform's settings file of operators.
+
+For each server and each window of `fall_ms` after its start, the work that arrived, in requests of mean work,
+is compared with N, the work that the settings allow (`fall_multiple` x the share of its capacity that the
+server certainly has x the window). The excess over N is divided by 2 x sqrt(N) + 2, the deviation attributed
+to chance; above 1 a server may crash.
+
+Prints JSON by number of proxies and restarts: the distribution of the highest excess of each server start
+(median, 95th percentile, largest), the number of starts above 0 and above 1, overload crashes (emulated
+servers allow nothing for chance), and the share of the priority weight that was served.
 """
 
 from __future__ import annotations
@@ -34,92 +37,100 @@
 from client_proxy.operators import load_operators
 
 ROOT = Path(__file__).resolve().parents[1]
-DAY = ROOT / "examples" / "days" / "join-many.toml"
-PLATFORM = ROOT / "deploy" / "platform.toml"
-# Harsher than any site so far, so that an ordinary share is already too much for a cold server.
-FALL_MULTIPLE, COLD_SHARE = 1.5, 0.15
+SCENARIO_FILE = ROOT / "examples" / "days" / "join-many.toml"
+OPERATORS_FILE = ROOT / "deploy" / "platform.toml"
+# Stricter than at any known site, so that an ordinary share already overloads a server in slow start.
+CRASH_MULTIPLE, SLOW_START_SHARE = 1.5, 0.15
 Job = tuple[int, bool, int, float]
 
 
-def excesses(played: SimulationResult) -> list[float]:
-    """The highest excess in each life of a server that began cold."""
-    day, rules = played.scenario, played.scenario.rules
-    mean_ms = sum(c.share * c.work_ms for c in day.classes) / sum(c.share for c in day.classes)
-    started = {
-        (t.server, t.since_ms / 1000.0 - UNIX_START_S) for t in played.event_log.notifications if t.since_ms
+def excesses(result: SimulationResult) -> list[float]:
+    """Returns the highest excess of each server start that began with slow start."""
+    scenario, rules = result.scenario, result.scenario.rules
+    mean_ms = sum(c.share * c.work_ms for c in scenario.classes) / sum(c.share for c in scenario.classes)
+    starts = {
+        (t.server, t.since_ms / 1000.0 - UNIX_START_S) for t in result.event_log.notifications if t.since_ms
     }
-    work_ms = {name: each.work_ms for name, each in played.event_log.attempts.items()}
-    found = []
-    for server, start_s in sorted(started):
-        kind = played.specs[server].server_type
-        came = sorted(
+    work_ms = {name: item.work_ms for name, item in result.event_log.attempts.items()}
+    highest_excesses = []
+    for server, start_s in sorted(starts):
+        kind = result.specs[server].server_type
+        arrivals = sorted(
             (a.arrived_s, work_ms[a.attempt_id] / mean_ms)
-            for a in played.event_log.arrivals
+            for a in result.event_log.arrivals
             if a.server == server and start_s <= a.arrived_s < start_s + rules.slow_start_ms / 1000.0
         )
-        worst, first, within = float("-inf"), 0, 0.0
-        for at_s, work in came:
-            within += work
-            while came[first][0] < at_s - rules.crash_window_ms / 1000.0:
-                within -= came[first][1]
-                first += 1
+        highest, window_start, window_work = float("-inf"), 0, 0.0
+        for at_s, work in arrivals:
+            window_work += work
+            while arrivals[window_start][0] < at_s - rules.crash_window_ms / 1000.0:
+                window_work -= arrivals[window_start][1]
+                window_start += 1
             warmth = min(
                 1.0,
                 rules.slow_start_share
                 + (1 - rules.slow_start_share) * (at_s - start_s) * 1000.0 / rules.slow_start_ms,
             )
-            bears_ms = kind.cores * kind.speed * warmth * rules.crash_window_ms
-            allowed = rules.crash_multiple * bears_ms / mean_ms
-            worst = max(worst, (within - allowed) / (2 * sqrt(allowed) + 2))
-        if came:
-            found.append(worst)
-    return found
+            capacity_ms = kind.cores * kind.speed * warmth * rules.crash_window_ms
+            allowed = rules.crash_multiple * capacity_ms / mean_ms
+            highest = max(highest, (window_work - allowed) / (2 * sqrt(allowed) + 2))
+        if arrivals:
+            highest_excesses.append(highest)
+    return highest_excesses
 
 
-def one(job: Job) -> tuple[list[float], int, float]:
+def run_job(job: Job) -> tuple[list[float], int, float]:
+    """Simulates one case; returns the excesses, the number of overload crashes and the served share."""
     proxies, restarts, seed, length_s = job
-    day = load_scenario(DAY)
-    rates = tuple(day.clients.relative_rates[n % len(day.clients.relative_rates)] for n in range(proxies))
-    incidents = day.faults
+    scenario = load_scenario(SCENARIO_FILE)
+    rates = tuple(
+        scenario.clients.relative_rates[n % len(scenario.clients.relative_rates)] for n in range(proxies)
+    )
+    faults = scenario.faults
     if restarts:
-        chosen = tuple(range(0, proxies, 3))
-        incidents += (
+        restarted_proxies = tuple(range(0, proxies, 3))
+        faults += (
             Fault(
-                at_s=4.0, kind="proxy_restart", proxies=chosen, stagger_s=6.0 / len(chosen), downtime_s=0.5
+                at_s=4.0,
+                kind="proxy_restart",
+                proxies=restarted_proxies,
+                stagger_s=6.0 / len(restarted_proxies),
+                downtime_s=0.5,
             ),
         )
-    clients = replace(day.clients, proxies=proxies, relative_rates=rates)
-    rules = replace(day.rules, crash_multiple=FALL_MULTIPLE, slow_start_share=COLD_SHARE)
-    cold_s = rules.slow_start_ms / 1000.0
+    clients = replace(scenario.clients, proxies=proxies, relative_rates=rates)
+    rules = replace(scenario.rules, crash_multiple=CRASH_MULTIPLE, slow_start_share=SLOW_START_SHARE)
+    slow_start_s = rules.slow_start_ms / 1000.0
     kinds = tuple(
-        replace(k, cold_capacity=COLD_SHARE, warm_up_s=cold_s, warm_up_requests=0) for k in day.server_types
+        replace(k, cold_capacity=SLOW_START_SHARE, warm_up_s=slow_start_s, warm_up_requests=0)
+        for k in scenario.server_types
     )
-    day = replace(
-        day,
+    scenario = replace(
+        scenario,
         seed=seed,
         duration_s=length_s,
         clients=clients,
-        faults=incidents,
+        faults=faults,
         rules=rules,
         server_types=kinds,
     )
-    played = simulate(day, operators=load_operators(str(PLATFORM)))
-    return excesses(played), len(played.event_log.overload_crashes), build_report(played).served_share
+    result = simulate(scenario, operators=load_operators(str(OPERATORS_FILE)))
+    return excesses(result), len(result.event_log.overload_crashes), build_report(result).served_share
 
 
-def row(proxies: int, restarts: bool, results: list[tuple[list[float], int, float]]) -> dict[str, Any]:
-    found = sorted(worst for lives, _, _ in results for worst in lives)
+def summarize(proxies: int, restarts: bool, results: list[tuple[list[float], int, float]]) -> dict[str, Any]:
+    highest_excesses = sorted(highest for excesses_of_run, _, _ in results for highest in excesses_of_run)
     return {
         "proxies": proxies,
         "restarts": restarts,
         "days": len(results),
-        "lives": len(found),
-        "median": round(median(found), 3),
-        "p95": round(found[int(0.95 * (len(found) - 1))], 3),
-        "largest": round(found[-1], 3),
-        "above_0": sum(worst > 0 for worst in found),
-        "above_1": sum(worst > 1 for worst in found),
-        "falls": sum(falls for _, falls, _ in results),
+        "lives": len(highest_excesses),
+        "median": round(median(highest_excesses), 3),
+        "p95": round(highest_excesses[int(0.95 * (len(highest_excesses) - 1))], 3),
+        "largest": round(highest_excesses[-1], 3),
+        "above_0": sum(highest > 0 for highest in highest_excesses),
+        "above_1": sum(highest > 1 for highest in highest_excesses),
+        "falls": sum(crashes for _, crashes, _ in results),
         "served": round(sum(served for _, _, served in results) / len(results), 4),
     }
 
@@ -135,11 +146,11 @@
     with ProcessPoolExecutor(args.jobs) as pool:
         kinds = list(product(args.proxies, (False, True)))
         runs = {
-            kind: [pool.submit(one, (*kind, seed, args.length)) for seed in range(1, args.seeds + 1)]
+            kind: [pool.submit(run_job, (*kind, seed, args.length)) for seed in range(1, args.seeds + 1)]
             for kind in kinds
         }
         for (proxies, restarts), running in runs.items():
-            rows.append(row(proxies, restarts, [each.result() for each in running]))
+            rows.append(summarize(proxies, restarts, [item.result() for item in running]))
             print(json.dumps(rows[-1]), file=sys.stderr, flush=True)
     print(json.dumps(rows, indent=1))
 
--- a/benchmarks/learned.py
+++ b/benchmarks/learned.py
@@ -1,10 +1,10 @@
-"""The first seconds of an instance after a restart, with and without what it had learned.
+"""Measures the first seconds of an instance after a restart, with and without its stored warm state.
 
     python -m benchmarks.learned [--seeds 4] [--json F]
 
-Three instances, three racks of two servers, 40 requests a second each; the way to one rack takes 300 ms
-longer all the time. After ten seconds one instance is ended in order and starts again a second later; then
-its requests of five seconds are looked at. Both sides in one run, seed by seed."""
+Three instances send 40 requests a second each to three racks of two servers; one rack is always 300 ms
+further away. After ten seconds one instance is shut down gracefully and starts again one second later. Its
+requests of the following five seconds are measured. Each seed runs once without and once with warm state."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from client_proxy.fault_injection import history, invariants, scenario_runner
 from client_proxy.fault_injection.plan import AimTable, FaultTable, FleetTable, LoadTable, Plan
 
-SPAN_S = 5.0
+OBSERVED_S = 5.0  # s; from when the restarted instance listens
 
 
-def measured(folder: Path, seed: int, learned: bool) -> dict[str, Any]:
+def run_drill(folder: Path, seed: int, learned: bool) -> dict[str, Any]:
     plan = Plan(
         name="learned", seed=seed, length_s=18.0, fleet=FleetTable(instances=3, racks=3, learned=learned),
         load=LoadTable(rate=40.0), aim=AimTable(whole_s=1),
@@ -34,14 +34,15 @@
     verdict = asyncio.run(scenario_runner.run(plan, folder))
     records = list(history.read(folder / "history.jsonl"))
     states = [r for r in invariants.records_of_kind(records, "state") if r["who"] == "i1"]
-    back_s = max(r["t"] for r in states if r["state"] == "listening")
-    mine = [o for o in invariants.records_of_kind(records, "op") if o["instance"] == "i1"]
-    ops = [o for o in mine if back_s <= o["begin"] < back_s + SPAN_S]
-    took = [1000 * (o["end"] - o["begin"]) for o in ops if o["ending"] == "served"]
+    listening_s = max(r["t"] for r in states if r["state"] == "listening")
+    instance_requests = [o for o in invariants.records_of_kind(records, "op") if o["instance"] == "i1"]
+    observed_requests = [o for o in instance_requests if listening_s <= o["begin"] < listening_s + OBSERVED_S]
+    latencies_ms = [1000 * (o["end"] - o["begin"]) for o in observed_requests if o["ending"] == "served"]
     row = {
-        "learned": learned, "seed": seed, "outcome": verdict.outcome, "requests": len(ops),
-        "served": len(took), "mean_ms": round(mean(took), 1), "p90_ms": round(quantiles(took, n=10)[8], 1),
-        "slow": sum(t > 300 for t in took),
+        "learned": learned, "seed": seed, "outcome": verdict.outcome, "requests": len(observed_requests),
+        "served": len(latencies_ms), "mean_ms": round(mean(latencies_ms), 1),
+        "p90_ms": round(quantiles(latencies_ms, n=10)[8], 1),
+        "slow": sum(t > 300 for t in latencies_ms),
     }  # fmt: skip
     print(json.dumps(row), flush=True)
     return row
@@ -54,7 +55,7 @@
     args = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="learn-") as folder:
         rows = [
-            measured(Path(folder) / f"{seed}-{learned}", seed, learned)
+            run_drill(Path(folder) / f"{seed}-{learned}", seed, learned)
             for seed in range(1, args.seeds + 1)
             for learned in (False, True)
         ]
--- a/benchmarks/replays.py
+++ b/benchmarks/replays.py
@@ -1,11 +1,11 @@
-"""Replays of the shipped days: one count over many, under load, and the real clock beside the virtual one.
+"""Checks that replays of the shipped scenarios are identical under load, and compares the two clocks.
 
     python -m benchmarks.replays [--replays 10] [--load 4] [--real] [DAY.toml ...]
 
-Every day is played `--replays` times on the virtual clock, each in a process of its own with other hashes,
-while `--load` processes keep other cores busy; the ledgers must be one. With `--real` it is also played on
-the real clock, with nothing beside it, and the shares by outcome are set against the virtual ones. Prints
-JSON; exits 1 if a ledger differed.
+Each scenario is simulated `--replays` times on the virtual clock, each time in a separate process with
+another hash seed, while `--load` processes keep other cores busy; all event logs must be identical. With
+`--real` it also runs on the real clock, without the busy processes, and the shares of the outcomes are
+compared with those on the virtual clock. Prints JSON; exits with 1 if an event log differed.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 OUTCOMES = ("served", "late", "refused", "failed")
 
 
-def replay(day: Path, clock: str, hashes: int) -> tuple[dict[str, Any], float]:
+def replay(scenario_file: Path, clock: str, hash_seed: int) -> tuple[dict[str, Any], float]:
     with tempfile.TemporaryDirectory() as folder:
         out = Path(folder) / "out.json"
-        env = os.environ | {"PYTHONHASHSEED": str(hashes), "PYTHONPATH": str(ROOT)}
-        command = [sys.executable, "-m", "client_proxy.emulator", "replay", str(day), "--quiet"]
-        begun = time.perf_counter()
+        env = os.environ | {"PYTHONHASHSEED": str(hash_seed), "PYTHONPATH": str(ROOT)}
+        command = [sys.executable, "-m", "client_proxy.emulator", "replay", str(scenario_file), "--quiet"]
+        start_s = time.perf_counter()
         done = subprocess.run(
             [*command, "--clock", clock, "--json", str(out)],
             cwd=ROOT,
@@ -39,14 +39,14 @@
             text=True,
         )
         if not out.is_file():
-            raise SystemExit(f"{day}: {done.stderr}")
-        return json.loads(out.read_text()), time.perf_counter() - begun
+            raise SystemExit(f"{scenario_file}: {done.stderr}")
+        return json.loads(out.read_text()), time.perf_counter() - start_s
 
 
-def shares(of: dict[str, Any]) -> dict[str, dict[str, float]]:
+def outcome_shares(report: dict[str, Any]) -> dict[str, dict[str, float]]:
     return {
-        name: {each: round(cls[each] / max(1, cls["asked"]), 5) for each in OUTCOMES}
-        for name, cls in of["classes"].items()
+        name: {each: round(class_report[each] / max(1, class_report["asked"]), 5) for each in OUTCOMES}
+        for name, class_report in report["classes"].items()
     }
 
 
@@ -54,52 +54,61 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("days", nargs="*", type=Path)
     parser.add_argument("--replays", type=int, default=10)
-    parser.add_argument("--load", type=int, default=4, help="busy processes beside")
-    parser.add_argument("--jobs", type=int, default=4, help="replays at a time")
+    parser.add_argument("--load", type=int, default=4, help="processes that keep other cores busy")
+    parser.add_argument("--jobs", type=int, default=4, help="replays that run at the same time")
     parser.add_argument("--real", action="store_true")
     args = parser.parse_args()
     days = args.days or sorted((ROOT / "examples" / "days").glob("*.toml"))
-    busy = [subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(args.load)]
+    busy_processes = [subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(args.load)]
     result: dict[str, Any] = {"cores": os.cpu_count(), "replays": args.replays, "load": args.load, "days": {}}
-    same = True
-    virtual: dict[Path, dict[str, Any]] = {}
+    all_identical = True
+    virtual_reports: dict[Path, dict[str, Any]] = {}
     try:
-        for day in days:
+        for scenario_file in days:
             with ThreadPoolExecutor(args.jobs) as pool:
-                played = list(pool.map(lambda n, d=day: replay(d, "virtual", n), range(args.replays)))
-            digests = {of["digest"] for of, _ in played}
-            counts = {json.dumps(shares(of)) for of, _ in played}
-            same = same and len(digests) == 1
-            of = virtual[day] = played[0][0]
-            walls = sorted(wall for _, wall in played)
-            result["days"][day.stem] = {
-                "seed": of["seed"],
+                results = list(
+                    pool.map(lambda n, d=scenario_file: replay(d, "virtual", n), range(args.replays))
+                )
+            digests = {report["digest"] for report, _ in results}
+            counts = {json.dumps(outcome_shares(report)) for report, _ in results}
+            all_identical = all_identical and len(digests) == 1
+            report = virtual_reports[scenario_file] = results[0][0]
+            wall_times_s = sorted(wall_s for _, wall_s in results)
+            result["days"][scenario_file.stem] = {
+                "seed": report["seed"],
                 "ledgers": len(digests),
                 "counts": len(counts),
-                "digest": of["digest"],
-                "rules": of["rules"],
-                "virtual_s": of["length_s"],
-                "wall_s": {"least": round(walls[0], 2), "most": round(walls[-1], 2)},
-                "served_share": of["served_share"],
+                "digest": report["digest"],
+                "rules": report["rules"],
+                "virtual_s": report["length_s"],
+                "wall_s": {"least": round(wall_times_s[0], 2), "most": round(wall_times_s[-1], 2)},
+                "served_share": report["served_share"],
             }
     finally:
-        for process in busy:
+        for process in busy_processes:
             process.kill()
             process.wait()
     if args.real:
-        for day in days:
-            of, _ = replay(day, "real", 0)
-            a, b = shares(virtual[day]), shares(of)
-            gap = max(abs(a[name][each] - b[name][each]) for name in a for each in OUTCOMES)
-            result["days"][day.stem]["real"] = {
-                "rules": of["rules"],
-                "virtual": a,
-                "real": b,
-                "widest_gap": round(gap, 5),
-                "served_share": of["served_share"],
+        for scenario_file in days:
+            report, _ = replay(scenario_file, "real", 0)
+            virtual_shares, real_shares = (
+                outcome_shares(virtual_reports[scenario_file]),
+                outcome_shares(report),
+            )
+            widest_gap = max(
+                abs(virtual_shares[name][each] - real_shares[name][each])
+                for name in virtual_shares
+                for each in OUTCOMES
+            )
+            result["days"][scenario_file.stem]["real"] = {
+                "rules": report["rules"],
+                "virtual": virtual_shares,
+                "real": real_shares,
+                "widest_gap": round(widest_gap, 5),
+                "served_share": report["served_share"],
             }
     print(json.dumps(result, indent=1))
-    return 0 if same else 1
+    return 0 if all_identical else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/decision.py
+++ b/benchmarks/scale/decision.py
@@ -17,7 +17,7 @@
 @cache
 def _probe(servers: int) -> Probe:
     probe = Probe(servers, PROXIES)
-    probe.us(WARM_CALLS)
+    probe.measure_us(WARM_CALLS)
     return probe
 
 
@@ -26,7 +26,7 @@
     probe = _probe(servers)
     before_s = time.process_time()
     for _ in range(calls):
-        probe.one()
+        probe.run_request()
     return {"cpu": 1e6 * (time.process_time() - before_s) / calls}
 
 
