--- a/benchmarks/added_time.py
+++ b/benchmarks/added_time.py
@@ -1,20 +1,20 @@
-"""Where the time goes that one daemon adds to a call, by part of its work.
+"""Measures the time that one daemon adds to a request, by part of its work.
 
     python -m benchmarks.added_time [--names 10] [--rate 294] [--length 10] [--rounds 3]
 
-The trial of `benchmarks.scale.data_path`, with the daemon's own functions timed inside it. Each part is told
-in microseconds of a call, by two clocks: the wall's, and the thread's processor clock, which stands still
-while the machine gives its core to others. The parts of a call:
+Runs the trial of `benchmarks.scale.data_path` and times the functions of the daemon. Each part is reported in
+microseconds per request by two clocks: the wall clock, and the thread's processor clock, which stops while
+another process has the core. The parts of a request:
 
-- read: from the first byte at the daemon to a whole request in the hands of the decisions' driver
-- turn: from there to the decisions, which come once in a turn of the loop
+- read: from its first byte at the daemon until the engine has the whole request
+- turn: from there to the decisions, which are made once per iteration of the event loop
 - decide: the decisions
-- start: from the decisions to the request's last byte handed to the system; with a dial, its handshake too
-- server: away, up to the first byte of the answer at the daemon (the server, the system, and the loop's wait)
-- answer: from there to the answer handed to the system
+- start: from the decisions until its last byte is written; with a dial, the handshake is included
+- server: until the first byte of the response (the server, the system, and the wait for the event loop)
+- answer: from there until the response is written
 
-Beside them what stands in the way of any call: pauses of the garbage collector, looks at the file of servers,
-and the sweeps of connections. Timing costs some 15 us a call itself. Prints JSON.
+Work that can delay any request is reported as well: garbage collection, polls of the file of servers, and
+sweeps of connections. The timing itself costs about 15 us per request. Prints JSON.
 """
 
 from __future__ import annotations
@@ -45,18 +45,18 @@
     return perf_counter(), thread_time()
 
 
-class Inside:
-    """Times the functions of the process that it stands in, and writes what it found at the end."""
+class RequestTimer:
+    """Wraps functions of the daemon in this process, records their times and writes them to a file."""
 
     def __init__(self) -> None:
         self.calls: list[list[Stamp]] = []
-        self.beside: defaultdict[str, list[tuple[float, float, float]]] = defaultdict(list)
-        self._open: dict[int, list[Stamp]] = {}
-        self._read: Stamp = (0.0, 0.0)
-        self._deciding: list[Stamp] = []
-        self._dialled: set[int] = set()
+        self.other_work: defaultdict[str, list[tuple[float, float, float]]] = defaultdict(list)
+        self._stamps_by_request: dict[int, list[Stamp]] = {}
+        self._read_stamp: Stamp = (0.0, 0.0)
+        self._decision_stamps: list[Stamp] = []
+        self._dialled_requests: set[int] = set()
         self.dialled_calls: list[bool] = []
-        self._collecting: Stamp = (0.0, 0.0)
+        self._collection_stamp: Stamp = (0.0, 0.0)
 
     def install(self) -> None:
         from client_proxy.balancer.balancer import Balancer
@@ -67,123 +67,123 @@
         from client_proxy.proxy.upstream_connection import UpstreamConnection
         from client_proxy.proxy.upstream_pool import UpstreamPool
 
-        gc.callbacks.append(self._collected)
-        self._aside(FileSource, "_poll", "look at the file")
-        self._aside(UpstreamPool, "_close_expired", "sweep of server connections")
-        self._aside(Listener, "_sweep", "sweep of client connections")
-        self._around_read(ClientConnection)
-        self._around_take(Engine)
-        self._around_decision(Balancer)
-        self._around_send(UpstreamConnection)
-        self._around_dial(UpstreamPool)
-        self._around_answer(UpstreamConnection)
-
-    def _aside(self, owner: Any, name: str, told: str) -> None:
-        inner = getattr(owner, name)
-
-        @functools.wraps(inner)
-        def timed(*args: Any, **named: Any) -> Any:
+        gc.callbacks.append(self._on_collection)
+        self._time_function(FileSource, "_poll", "look at the file")
+        self._time_function(UpstreamPool, "_close_expired", "sweep of server connections")
+        self._time_function(Listener, "_sweep", "sweep of client connections")
+        self._wrap_read(ClientConnection)
+        self._wrap_accept(Engine)
+        self._wrap_decision(Balancer)
+        self._wrap_send(UpstreamConnection)
+        self._wrap_dial(UpstreamPool)
+        self._wrap_answer(UpstreamConnection)
+
+    def _time_function(self, owner: Any, name: str, label: str) -> None:
+        original = getattr(owner, name)
+
+        @functools.wraps(original)
+        def timed(*args: Any, **keywords: Any) -> Any:
             before = stamp()
             try:
-                return inner(*args, **named)
+                return original(*args, **keywords)
             finally:
                 after = stamp()
-                self.beside[told].append((before[0], after[0] - before[0], after[1] - before[1]))
+                self.other_work[label].append((before[0], after[0] - before[0], after[1] - before[1]))
 
         setattr(owner, name, timed)
 
-    def _collected(self, phase: str, info: dict[str, int]) -> None:
+    def _on_collection(self, phase: str, info: dict[str, int]) -> None:
         if phase == "start":
-            self._collecting = stamp()
+            self._collection_stamp = stamp()
         else:
-            before, after = self._collecting, stamp()
+            before, after = self._collection_stamp, stamp()
             spent = before[0], after[0] - before[0], after[1] - before[1]
-            self.beside[f"collector, generation {info['generation']}"].append(spent)
+            self.other_work[f"collector, generation {info['generation']}"].append(spent)
 
-    def _around_read(self, owner: Any) -> None:
-        inner = owner.data_received
+    def _wrap_read(self, owner: Any) -> None:
+        original = owner.data_received
 
         def data_received(connection: Any, data: bytes) -> None:
-            self._read = stamp()
-            inner(connection, data)
+            self._read_stamp = stamp()
+            original(connection, data)
 
         owner.data_received = data_received
 
-    def _around_take(self, owner: Any) -> None:
-        inner = owner.accept
+    def _wrap_accept(self, owner: Any) -> None:
+        original = owner.accept
 
         def accept(engine: Any, request: Any, reply: Any) -> int:
-            number: int = inner(engine, request, reply)
-            self._open[id(request)] = [self._read, stamp()]
+            number: int = original(engine, request, reply)
+            self._stamps_by_request[id(request)] = [self._read_stamp, stamp()]
             return number
 
         owner.accept = accept
 
-    def _around_decision(self, owner: Any) -> None:
-        inner = owner.handle
+    def _wrap_decision(self, owner: Any) -> None:
+        original = owner.handle
 
         def handle(balancer: Any, now_ms: float, events: Any) -> Any:
             before = stamp()
-            actions = inner(balancer, now_ms, events)
-            self._deciding = [before, stamp()]
+            actions = original(balancer, now_ms, events)
+            self._decision_stamps = [before, stamp()]
             return actions
 
         owner.handle = handle
 
-    def _around_send(self, owner: Any) -> None:
-        inner = owner.send
+    def _wrap_send(self, owner: Any) -> None:
+        original = owner.send
 
         def send(connection: Any, attempt: Any) -> None:
-            stamps = self._open.get(id(attempt._request))
+            stamps = self._stamps_by_request.get(id(attempt._request))
             if stamps is not None and len(stamps) == 2:
-                stamps += self._deciding
-            inner(connection, attempt)
+                stamps += self._decision_stamps
+            original(connection, attempt)
             if stamps is not None and len(stamps) == 4:
                 stamps.append(stamp())
 
         owner.send = send
 
-    def _around_dial(self, owner: Any) -> None:
-        inner = owner._dial
+    def _wrap_dial(self, owner: Any) -> None:
+        original = owner._dial
 
         def dial(upstream: Any, endpoint: Any, attempt: Any) -> Any:
-            self._dialled.add(id(attempt._request))
-            stamps = self._open.get(id(attempt._request))
+            self._dialled_requests.add(id(attempt._request))
+            stamps = self._stamps_by_request.get(id(attempt._request))
             if stamps is not None and len(stamps) == 2:
-                stamps += self._deciding
-            return inner(upstream, endpoint, attempt)
+                stamps += self._decision_stamps
+            return original(upstream, endpoint, attempt)
 
         owner._dial = dial
 
-    def _around_answer(self, owner: Any) -> None:
-        inner = owner.data_received
+    def _wrap_answer(self, owner: Any) -> None:
+        original = owner.data_received
 
         def data_received(connection: Any, data: bytes) -> None:
-            came, attempt = stamp(), connection.attempt
-            inner(connection, data)
+            received, attempt = stamp(), connection.attempt
+            original(connection, data)
             if attempt is None:
                 return
             request = id(attempt._request)
-            stamps = self._open.pop(request, None)
+            stamps = self._stamps_by_request.pop(request, None)
             if stamps is not None and len(stamps) == 5:
-                self.calls.append([*stamps, came, stamp()])
-                self.dialled_calls.append(request in self._dialled)
-            self._dialled.discard(request)
+                self.calls.append([*stamps, received, stamp()])
+                self.dialled_calls.append(request in self._dialled_requests)
+            self._dialled_requests.discard(request)
 
         owner.data_received = data_received
 
     def write(self, file: Path) -> None:
-        told = {"calls": self.calls, "dialled": self.dialled_calls, "beside": self.beside}
-        file.write_text(json.dumps(told))
+        content = {"calls": self.calls, "dialled": self.dialled_calls, "beside": self.other_work}
+        file.write_text(json.dumps(content))
 
 
-def run_inside(file: Path, words: Sequence[str]) -> None:
-    """Run the module named by `words` (as after `python`) with its functions timed."""
-    inside = Inside()
-    inside.install()
-    atexit.register(inside.write, file)
-    sys.argv = list(words[1:])
-    runpy.run_module(words[1], run_name="__main__", alter_sys=True)
+def run_inside(file: Path, arguments: Sequence[str]) -> None:
+    """Runs a module with its functions timed; `arguments` are those of `python`: `-m`, its name, ..."""
+    timer = RequestTimer()
+    timer.install()
+    atexit.register(timer.write, file)
+    sys.argv = list(arguments[1:])
+    runpy.run_module(arguments[1], run_name="__main__", alter_sys=True)
 
 
 def quantile(values: Sequence[float], share: float) -> float:
@@ -191,8 +191,8 @@
     return ranked[min(len(ranked) - 1, int(share * len(ranked)))] if ranked else 0.0
 
 
-def told_us(values: Sequence[float]) -> dict[str, float]:
-    """Of seconds: in microseconds."""
+def summarize_us(values: Sequence[float]) -> dict[str, float]:
+    """Returns mean, median, 99th percentile and maximum of times in seconds, in microseconds."""
     figures: dict[str, Callable[[], float]] = {
         "mean": lambda: sum(values) / max(1, len(values)),
         "p50": lambda: quantile(values, 0.5),
@@ -202,51 +202,57 @@
     return {name: round(1e6 * figure(), 1) for name, figure in figures.items()}
 
 
-def split(found: Any, skipped_s: float) -> dict[str, Any]:
-    """Of one trial. `skipped_s`: seconds at its start, with its dials and imports, that are left out."""
-    calls, dialled = found["calls"], found["dialled"]
-    begun_s = min((each[0][0] for each in calls), default=0.0) + skipped_s
-    kept = [each for each, dial in zip(calls, dialled, strict=True) if each[0][0] >= begun_s and not dial]
+def summarize_trial(measurements: Any, skipped_s: float) -> dict[str, Any]:
+    """Summarizes one trial.
+
+    The first `skipped_s` seconds, with dials and imports, and all requests with a dial are left out."""
+    calls, dialled = measurements["calls"], measurements["dialled"]
+    counted_from_s = min((each[0][0] for each in calls), default=0.0) + skipped_s
+    counted_calls = [
+        each for each, dial in zip(calls, dialled, strict=True) if each[0][0] >= counted_from_s and not dial
+    ]
     parts: dict[str, Any] = {}
     for number, name in enumerate(PARTS):
         parts[name] = {
-            clock: told_us([each[number + 1][at] - each[number][at] for each in kept])
+            clock: summarize_us([each[number + 1][at] - each[number][at] for each in counted_calls])
             for at, clock in enumerate(("wall_us", "cpu_us"))
         }
-    own = [number for number, name in enumerate(PARTS) if name != "server"]
-    inside = [sum(each[n + 1][0] - each[n][0] for n in own) for each in kept]
-    inside_cpu = [sum(each[n + 1][1] - each[n][1] for n in own) for each in kept]
-    slowest = sorted(zip(inside, kept, strict=True), key=lambda pair: pair[0])[-max(1, len(kept) // 100) :]
+    daemon_parts = [number for number, name in enumerate(PARTS) if name != "server"]
+    inside_wall_s = [sum(each[n + 1][0] - each[n][0] for n in daemon_parts) for each in counted_calls]
+    inside_cpu_s = [sum(each[n + 1][1] - each[n][1] for n in daemon_parts) for each in counted_calls]
+    slowest = sorted(zip(inside_wall_s, counted_calls, strict=True), key=lambda pair: pair[0])[
+        -max(1, len(counted_calls) // 100) :
+    ]
     mean_of_slowest = {
         name: round(1e6 * sum(each[n + 1][0] - each[n][0] for _, each in slowest) / len(slowest), 1)
         for n, name in enumerate(PARTS)
     }
-    beside = {}
-    for name, spans in found["beside"].items():
-        later = [(wall, cpu) for at, wall, cpu in spans if at >= begun_s]
-        beside[name] = {
+    other_work = {}
+    for name, spans in measurements["beside"].items():
+        later = [(wall, cpu) for at, wall, cpu in spans if at >= counted_from_s]
+        other_work[name] = {
             "times": len(later),
-            "before": len(spans) - len(later),  # at the start: not counted
-            "wall_us": told_us([wall for wall, _ in later]),
-            "cpu_us": told_us([cpu for _, cpu in later]),
+            "before": len(spans) - len(later),  # during the skipped start; not included in the times
+            "wall_us": summarize_us([wall for wall, _ in later]),
+            "cpu_us": summarize_us([cpu for _, cpu in later]),
         }
     return {
-        "calls": len(kept),
+        "calls": len(counted_calls),
         "dialled": sum(dialled),
         "parts": parts,
-        "inside_wall_us": told_us(inside),
-        "inside_cpu_us": told_us(inside_cpu),
+        "inside_wall_us": summarize_us(inside_wall_s),
+        "inside_cpu_us": summarize_us(inside_cpu_s),
         "slowest_hundredth_wall_us": mean_of_slowest,
-        "beside": beside,
+        "beside": other_work,
     }
 
 
-def trial(names: int, rate: float, length_s: float) -> tuple[DataPathSample, dict[str, Any]]:
+def run_trial(names: int, rate: float, length_s: float) -> tuple[DataPathSample, dict[str, Any]]:
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "parts.json"
         runner = ["-m", "benchmarks.added_time", "--inside", str(file)]
         sample = measure(names, rate, length_s, False, runner=runner)
-        return sample, split(json.loads(file.read_text()), 1.0)
+        return sample, summarize_trial(json.loads(file.read_text()), 1.0)
 
 
 def main() -> int:
@@ -262,7 +268,7 @@
     rows = []
     for number in range(args.rounds):
         for names in args.names:
-            sample, parts = trial(names, args.rate, args.length)
+            sample, parts = run_trial(names, args.rate, args.length)
             rows.append({"round": number, "refused": sample.refused, "sample": asdict(sample), **parts})
             print(json.dumps(rows[-1]), file=sys.stderr, flush=True)
     print(json.dumps({"cores": os.cpu_count(), "rate_per_s": args.rate, "rows": rows}, indent=1))
--- a/benchmarks/cold_sums.py
+++ b/benchmarks/cold_sums.py
@@ -86,10 +86,10 @@
     rates = tuple(
         scenario.clients.relative_rates[n % len(scenario.clients.relative_rates)] for n in range(proxies)
     )
-    faults = scenario.faults
+    scenario_faults = scenario.faults
     if restarts:
         restarted_proxies = tuple(range(0, proxies, 3))
-        faults += (
+        scenario_faults += (
             Fault(
                 at_s=4.0,
                 kind="proxy_restart",
@@ -110,7 +110,7 @@
         seed=seed,
         duration_s=length_s,
         clients=clients,
-        faults=faults,
+        faults=scenario_faults,
         rules=rules,
         server_types=kinds,
     )
--- a/benchmarks/emulator_speed.py
+++ b/benchmarks/emulator_speed.py
@@ -1,10 +1,10 @@
-"""How much the emulator carries: virtual seconds a wall second, and real servers and requests on one core.
+"""Measures the emulator: virtual seconds per wall clock second, and real servers and requests on one core.
 
     python -m benchmarks.emulator_speed [--rounds 3] [--requests 8000]
 
-Virtual: an hour of a sparse desk, a minute of a Saturday, each played with one process. Real: one process
-holds 10, 100 and 500 emulated servers on loopback sockets, and another asks them in turn over 64 connections.
-Prints JSON with the seeds and the machine's cores.
+On the virtual clock, two shipped scenarios and an hour of sparse traffic are simulated in this process. On
+the real clock, one process runs 10, 100 and 500 emulated servers on loopback sockets, and another sends them
+requests in turn over 64 connections. Prints JSON with the seeds and the machine's cores.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 import uvloop
 
-from benchmarks.overhead import Asker, Load, cpu_s
+from benchmarks.overhead import Load, LoadConnection, cpu_s
 from client_proxy.emulator.event_log import ClientAttempt
 from client_proxy.emulator.listeners import SocketListener
 from client_proxy.emulator.report import build_report
@@ -35,35 +35,39 @@
 CLASS = "look-up"
 
 
-def sparse(day: Scenario) -> Scenario:
-    """An hour of one desk: a request every few seconds."""
+def sparse_hour(day: Scenario) -> Scenario:
+    """Returns the scenario as an hour of one proxy with a request every few seconds."""
     from dataclasses import replace
 
     clients = replace(day.clients, proxies=1, relative_rates=(), rate_per_s=0.3, rate_curve=())
     return day.with_changes(name="sparse-hour", duration_s=3600.0, clients=clients, window_s=600.0)
 
 
-def virtual(day: Scenario, rounds: int) -> dict[str, Any]:
-    walls = []
+def measure_virtual(day: Scenario, rounds: int) -> dict[str, Any]:
+    wall_times_s = []
     for _ in range(rounds):
-        begun = time.perf_counter()
-        played = simulate(day)
-        walls.append(time.perf_counter() - begun)
-    of = build_report(played)
-    asked = sum(each.asked for each in of.classes.values())
-    wall = median(walls)
+        start_s = time.perf_counter()
+        result = simulate(day)
+        wall_times_s.append(time.perf_counter() - start_s)
+    report = build_report(result)
+    request_count = sum(each.asked for each in report.classes.values())
+    median_wall_s = median(wall_times_s)
     return {
         "seed": day.seed,
         "virtual_s": day.duration_s,
-        "requests": asked,
-        "callbacks": played.callbacks_run,
-        "wall_s": {"median": round(wall, 2), "least": round(min(walls), 2), "most": round(max(walls), 2)},
-        "virtual_s_a_wall_s": round(day.duration_s / wall, 1),
-        "requests_a_wall_s": round(asked / wall),
+        "requests": request_count,
+        "callbacks": result.callbacks_run,
+        "wall_s": {
+            "median": round(median_wall_s, 2),
+            "least": round(min(wall_times_s), 2),
+            "most": round(max(wall_times_s), 2),
+        },
+        "virtual_s_a_wall_s": round(day.duration_s / median_wall_s, 1),
+        "requests_a_wall_s": round(request_count / median_wall_s),
     }
 
 
-def many(servers: int) -> Scenario:
+def scenario_with_servers(servers: int) -> Scenario:
     return parse_scenario(
         f'name = "many"\nlength_s = 60\nhalls = ["hall"]\n[clients]\nproxies = 1\n'
         f'[[class]]\nname = "{CLASS}"\nwork_ms = 0.1\naim_ms = 5000\ndeadline_ms = 10000\neffect = "safe"\n'
@@ -72,23 +76,23 @@
     )
 
 
-async def hold(servers: int, ids: int) -> None:
-    """The process that is measured."""
+async def hold_servers(servers: int, id_count: int) -> None:
+    """Runs emulated servers and prints their ports; this is the process that is measured."""
     loop = asyncio.get_running_loop()
-    stage = Simulation(many(servers), loop)
-    stage.new_listener = lambda factory: SocketListener(loop, factory, ("127.0.0.1", 0))
-    stage.prepare()
-    for number in range(ids):
+    simulation = Simulation(scenario_with_servers(servers), loop)
+    simulation.new_listener = lambda factory: SocketListener(loop, factory, ("127.0.0.1", 0))
+    simulation.prepare()
+    for number in range(id_count):
         id_ = f"id{number:x}"
-        stage.event_log.attempts[id_] = ClientAttempt(id_, 0, number, CLASS, "k", 0.1)
-    for server in stage.servers.values():
+        simulation.event_log.attempts[id_] = ClientAttempt(id_, 0, number, CLASS, "k", 0.1)
+    for server in simulation.servers.values():
         server.start(cold=False)
-    print(json.dumps([server.listeners[0].address[1] for server in stage.servers.values()]), flush=True)
+    print(json.dumps([server.listeners[0].address[1] for server in simulation.servers.values()]), flush=True)
     await asyncio.Event().wait()
 
 
-class Known(Load):
-    """Asks under ids that the servers know."""
+class KnownIdLoad(Load):
+    """A load whose requests have trace ids that the servers know."""
 
     def next_request(self) -> bytes:
         self._sent += 1
@@ -98,8 +102,8 @@
         ).encode()
 
 
-class ByLength(Asker):
-    """Reads answers of any length."""
+class VariableLengthConnection(LoadConnection):
+    """A connection that reads responses of any length."""
 
     def data_received(self, data: bytes) -> None:
         self._rest += data
@@ -111,10 +115,10 @@
             return
         served = self._rest.startswith(b"HTTP/1.1 200")
         self._rest = b""
-        self._bench.answered(self, time.perf_counter() - self._began_s, served)
+        self._load_of_connection.on_response(self, time.perf_counter() - self._request_start_s, served)
 
 
-def real(servers: int, requests: int) -> dict[str, float]:
+def measure_real(servers: int, requests: int) -> dict[str, float]:
     process = subprocess.Popen(
         [sys.executable, "-m", "benchmarks.emulator_speed", "--hold", str(servers), str(requests + 1)],
         cwd=ROOT,
@@ -125,23 +129,23 @@
         ports = json.loads(process.stdout.readline())
 
         async def run() -> tuple[float, float, int]:
-            load_ = Known(requests)
+            load = KnownIdLoad(requests)
             loop = asyncio.get_running_loop()
-            askers = []
+            connections = []
             for number in range(CONNECTIONS):
-                where = ("127.0.0.1", ports[number % len(ports)])
-                _, asker = await loop.create_connection(lambda: ByLength(load_), *where)
-                askers.append(asker)
-            before, begun = cpu_s(process.pid), time.perf_counter()
-            for asker in askers:
-                load_.start(asker)
-            await load_._done
-            return time.perf_counter() - begun, cpu_s(process.pid) - before, load_.failed
-
-        wall_s, spent_s, failed = uvloop.run(run())
+                address = ("127.0.0.1", ports[number % len(ports)])
+                _, connection = await loop.create_connection(lambda: VariableLengthConnection(load), *address)
+                connections.append(connection)
+            cpu_before_s, start_s = cpu_s(process.pid), time.perf_counter()
+            for connection in connections:
+                load.start(connection)
+            await load._done
+            return time.perf_counter() - start_s, cpu_s(process.pid) - cpu_before_s, load.failed
+
+        wall_s, used_cpu_s, failed = uvloop.run(run())
         return {
             "requests_per_s": requests / wall_s,
-            "cpu_us_a_request": 1e6 * spent_s / requests,
+            "cpu_us_a_request": 1e6 * used_cpu_s / requests,
             "failed": failed,
         }
     finally:
@@ -156,16 +160,16 @@
     parser.add_argument("--hold", nargs=2, type=int)
     args = parser.parse_args()
     if args.hold:
-        asyncio.run(hold(*args.hold))
+        asyncio.run(hold_servers(*args.hold))
         return 0
     saturday = load_scenario(ROOT / "examples" / "days" / "wedding-saturday.toml")
     morning = load_scenario(ROOT / "examples" / "days" / "calm-morning.toml")
-    found: dict[str, Any] = {"cores": os.cpu_count(), "rounds": args.rounds, "virtual": {}, "real": {}}
-    for day in (morning, saturday, sparse(morning)):
-        found["virtual"][day.name] = virtual(day, args.rounds)
+    figures: dict[str, Any] = {"cores": os.cpu_count(), "rounds": args.rounds, "virtual": {}, "real": {}}
+    for day in (morning, saturday, sparse_hour(morning)):
+        figures["virtual"][day.name] = measure_virtual(day, args.rounds)
     for servers in (10, 100, 500):
-        rounds = [real(servers, args.requests) for _ in range(args.rounds)]
-        found["real"][str(servers)] = {
+        rounds = [measure_real(servers, args.requests) for _ in range(args.rounds)]
+        figures["real"][str(servers)] = {
             name: {
                 "median": round(median(each[name] for each in rounds), 1),
                 "least": round(min(each[name] for each in rounds), 1),
@@ -173,7 +177,7 @@
             }
             for name in rounds[0]
         }
-    print(json.dumps(found, indent=1))
+    print(json.dumps(figures, indent=1))
     return 0
 
 
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -50,13 +50,17 @@
 def run_job(job: Job) -> dict[str, Any]:
     variant, scenario_kind, proxies, seed, places, rate, length_s = job
     day = load_scenario(SCENARIO_FILE)
-    faults: tuple[Fault, ...] = ()
+    scenario_faults: tuple[Fault, ...] = ()
     if scenario_kind == "frozen":
         server = day.servers()[0].name
-        faults = (Fault(at_s=length_s / 4, kind="freeze", duration_s=length_s / 4, servers=(server,)),)
+        scenario_faults = (
+            Fault(at_s=length_s / 4, kind="freeze", duration_s=length_s / 4, servers=(server,)),
+        )
     clients = replace(day.clients, proxies=proxies, rate_per_s=rate, relative_rates=())
     kinds = tuple(replace(kind, max_connections=places) for kind in day.server_types)
-    day = replace(day, seed=seed, duration_s=length_s, server_types=kinds, clients=clients, faults=faults)
+    day = replace(
+        day, seed=seed, duration_s=length_s, server_types=kinds, clients=clients, faults=scenario_faults
+    )
     start_s = perf_counter()
     result = simulate(day, operators=VARIANTS[variant])
     report = build_report(result)
--- a/benchmarks/hall_loss.py
+++ b/benchmarks/hall_loss.py
@@ -108,7 +108,7 @@
 
 
 def time_to_usual_share_s(result: SimulationResult, zone: str, from_s: float) -> float | None:
-    """Returns the time (s) from `from_s` until the zone has 0.9 of its share before the loss, in a span of 5 s.
+    """Returns the time (s) from `from_s` until the zone has 0.9 of its share before the loss, over 5 s.
 
     Returns None if that does not happen before the scenario ends."""
     loss_s = min(i.at_s for i in result.scenario.faults)
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -1,11 +1,11 @@
-"""What the daemon costs a request, beside going direct and beside a bare byte relay on the same kind of loop
+"""Measures what the daemon costs per request, compared with a direct connection and with a byte relay.
 
     python -m benchmarks.overhead [--requests 6000] [--rounds 3] [--connections 1 32 128] [--profile FILE]
 
-One server that answers at once, one client that keeps `--connections` connections each with a request out,
-and between them nothing, a relay of bytes, or the daemon, each a process of its own on uvloop. The three ways
-take turns within every round, so that a drift of the machine's speed meets all alike. CPU is the middle
-process's own (user and system), by request. Prints JSON.
+One client keeps `--connections` connections with one pending request each to a server that answers at
+once. Between them is nothing, a byte relay or the daemon; each is a separate process on uvloop. Every
+round measures the three targets in turn, so that a drift of the machine's speed affects them alike. CPU
+is the user and system time of the process in between, per request. Prints JSON.
 """
 
 from __future__ import annotations
@@ -29,11 +29,12 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 SEED = 1
-WARM = 500
+WARM_UP_REQUESTS = 500
 CLASS = "look-up"
 
 
-def facts() -> dict[str, Any]:
+def platform_settings() -> dict[str, Any]:
+    """Returns the settings of the platform that the daemon is started with."""
     return {
         "balancers": 1,
         "bounds": {
@@ -67,11 +68,11 @@
     }
 
 
-# The two ends and the relay, each a process
+# The server and the relay, each in a process, and the client
 
 
-class Instant(asyncio.Protocol):
-    """A server that answers each whole head at once; bodies are in the same segment."""
+class InstantServer(asyncio.Protocol):
+    """A server that answers each request at once; it expects the body `form` right after the head."""
 
     ANSWER = (
         b"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=1, queue=0, latency_ms=1.5\r\n"
@@ -90,11 +91,11 @@
 
 
 class Relay(asyncio.Protocol):
-    """Bytes from one side to the other, and nothing else."""
+    """A connection that forwards all bytes to the other side unchanged."""
 
     def __init__(self, address: tuple[str, int] | None, other: Relay | None = None) -> None:
         self._address, self._other = address, other
-        self._early: list[bytes] = []
+        self._buffered: list[bytes] = []
         self.transport: Any = None
 
     def connection_made(self, transport: Any) -> None:
@@ -103,15 +104,15 @@
             asyncio.get_running_loop().create_task(self._dial(self._address))
 
     async def _dial(self, address: tuple[str, int]) -> None:
-        there = Relay(None, self)
-        await asyncio.get_running_loop().create_connection(lambda: there, *address)
-        self._other = there
-        for data in self._early:
-            there.transport.write(data)
+        upstream = Relay(None, self)
+        await asyncio.get_running_loop().create_connection(lambda: upstream, *address)
+        self._other = upstream
+        for data in self._buffered:
+            upstream.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
         if self._other is None:
-            self._early.append(data)
+            self._buffered.append(data)
         else:
             self._other.transport.write(data)
 
@@ -120,32 +121,36 @@
             self._other.transport.close()
 
 
-async def part(name: str, to: str) -> None:
+async def run_process(name: str, to: str) -> None:
+    """Runs the server, or the relay to address `to`, and prints its port."""
     loop = asyncio.get_running_loop()
     address: tuple[str, int] | None = None
     if to:
         host, port = to.rsplit(":", 1)
         address = (host, int(port))
     server = await loop.create_server(
-        (lambda: Instant()) if name == "server" else (lambda: Relay(address)), "127.0.0.1", 0, backlog=1024
+        (lambda: InstantServer()) if name == "server" else (lambda: Relay(address)),
+        "127.0.0.1",
+        0,
+        backlog=1024,
     )
     print(server.sockets[0].getsockname()[1], flush=True)
     await asyncio.Event().wait()
 
 
-class Asker(asyncio.Protocol):
-    """A client's connection: the next request as soon as the last is answered."""
+class LoadConnection(asyncio.Protocol):
+    """A connection of the client; it sends the next request as soon as the last one is answered."""
 
-    def __init__(self, bench: Load) -> None:
-        self._bench = bench
+    def __init__(self, load: Load) -> None:
+        self._load_of_connection = load
         self._rest = b""
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
-    def ask(self) -> None:
-        self._began_s = time.perf_counter()
-        self.transport.write(self._bench.next_request())
+    def send_request(self) -> None:
+        self._request_start_s = time.perf_counter()
+        self.transport.write(self._load_of_connection.next_request())
 
     def data_received(self, data: bytes) -> None:
         self._rest += data
@@ -154,19 +159,21 @@
             return
         served = self._rest.startswith(b"HTTP/1.1 200")
         self._rest = b""
-        self._bench.answered(self, time.perf_counter() - self._began_s, served)
+        self._load_of_connection.on_response(self, time.perf_counter() - self._request_start_s, served)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._bench.broken(self)
+        self._load_of_connection.on_connection_lost(self)
 
 
 class Load:
+    """`count` requests that the connections share, with their latencies and failures."""
+
     def __init__(self, count: int) -> None:
-        self.left = count
-        self.spans: list[float] = []
+        self.requests_left = count
+        self.latencies_s: list[float] = []
         self.failed = 0
         self._sent = 0
-        self._busy = 0
+        self._pending = 0
         self._done = asyncio.get_running_loop().create_future()
 
     def next_request(self) -> bytes:
@@ -177,34 +184,34 @@
             f"X-Expires-In-Ms: 8000\r\nIdempotency-Key: {id_}\r\nContent-Length: 4\r\n\r\nform"
         ).encode()
 
-    def start(self, asker: Asker) -> None:
-        if self.left > 0:
-            self.left -= 1
-            self._busy += 1
-            asker.ask()
+    def start(self, connection: LoadConnection) -> None:
+        if self.requests_left > 0:
+            self.requests_left -= 1
+            self._pending += 1
+            connection.send_request()
 
-    def answered(self, asker: Asker, span_s: float, served: bool) -> None:
-        self._busy -= 1
-        self.spans.append(span_s)
+    def on_response(self, connection: LoadConnection, latency_s: float, served: bool) -> None:
+        self._pending -= 1
+        self.latencies_s.append(latency_s)
         self.failed += not served
-        self.start(asker)
-        if not self._busy and not self._done.done():
+        self.start(connection)
+        if not self._pending and not self._done.done():
             self._done.set_result(None)
 
-    def broken(self, asker: Asker) -> None:
-        """A connection that was closed with its answer is opened anew by `run`; others count as failed."""
+    def on_connection_lost(self, connection: LoadConnection) -> None:
+        """Does nothing; a lost connection is neither reopened nor counted as a failure."""
 
     async def run(self, address: tuple[str, int], connections: int) -> None:
         loop = asyncio.get_running_loop()
-        askers = []
+        open_connections = []
         for _ in range(connections):
-            _, asker = await loop.create_connection(lambda: Asker(self), *address)
-            askers.append(asker)
-        for asker in askers:
-            self.start(asker)
+            _, connection = await loop.create_connection(lambda: LoadConnection(self), *address)
+            open_connections.append(connection)
+        for connection in open_connections:
+            self.start(connection)
         await self._done
-        for asker in askers:
-            asker.transport.close()
+        for connection in open_connections:
+            connection.transport.close()
 
 
 # The measurement
@@ -215,9 +222,9 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def spawn(*words: str, env: dict[str, str] | None = None) -> subprocess.Popen[bytes]:
+def spawn(*arguments: str, env: dict[str, str] | None = None) -> subprocess.Popen[bytes]:
     return subprocess.Popen(
-        [sys.executable, *words], cwd=ROOT, env=os.environ | (env or {}), stdout=subprocess.PIPE
+        [sys.executable, *arguments], cwd=ROOT, env=os.environ | (env or {}), stdout=subprocess.PIPE
     )
 
 
@@ -234,8 +241,8 @@
 
 
 def wait_ready(address: tuple[str, int]) -> None:
-    until = time.monotonic() + 20
-    while time.monotonic() < until:
+    deadline_s = time.monotonic() + 20
+    while time.monotonic() < deadline_s:
         try:
             with socket.create_connection(address, 1) as sock:
                 sock.sendall(b"GET /ready HTTP/1.1\r\nHost: app.svc\r\n\r\n")
@@ -247,24 +254,24 @@
     raise SystemExit("the daemon was not ready")
 
 
-def measure(way: tuple[str, int], pid: int | None, connections: int, requests: int) -> dict[str, float]:
+def measure(address: tuple[str, int], pid: int | None, connections: int, requests: int) -> dict[str, float]:
     async def run() -> tuple[Load, float, float]:
-        warm = Load(WARM)
-        await warm.run(way, connections)
-        before_s, begun_s = cpu_s(pid) if pid else 0.0, time.perf_counter()
+        warm = Load(WARM_UP_REQUESTS)
+        await warm.run(address, connections)
+        cpu_before_s, start_s = cpu_s(pid) if pid else 0.0, time.perf_counter()
         load = Load(requests)
-        await load.run(way, connections)
-        return load, before_s, begun_s
+        await load.run(address, connections)
+        return load, cpu_before_s, start_s
 
-    load, before_s, begun_s = uvloop.run(run())
-    wall_s = time.perf_counter() - begun_s
-    spent_s = cpu_s(pid) - before_s if pid else 0.0
-    ranked = sorted(load.spans)
+    load, cpu_before_s, start_s = uvloop.run(run())
+    wall_s = time.perf_counter() - start_s
+    used_cpu_s = cpu_s(pid) - cpu_before_s if pid else 0.0
+    sorted_latencies = sorted(load.latencies_s)
     return {
         "requests_per_s": requests / wall_s,
-        "cpu_us": 1e6 * spent_s / requests,
-        "p50_us": 1e6 * ranked[len(ranked) // 2],
-        "p99_us": 1e6 * ranked[int(len(ranked) * 0.99)],
+        "cpu_us": 1e6 * used_cpu_s / requests,
+        "p50_us": 1e6 * sorted_latencies[len(sorted_latencies) // 2],
+        "p99_us": 1e6 * sorted_latencies[int(len(sorted_latencies) * 0.99)],
         "failed": load.failed,
     }
 
@@ -287,20 +294,20 @@
     config = {
         "name": "bench",
         "listen": f"127.0.0.3:{port}",
-        "discovery": f"127.0.0.3:{free_port('127.0.0.3')}",  # nobody there: the known list stands
+        "discovery": f"127.0.0.3:{free_port('127.0.0.3')}",  # no listener; the known endpoints stay in use
         "seed": f"{SEED:x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"index": 1, "snapshot": True, "endpoints": entries},
-        "settings": facts(),
+        "settings": platform_settings(),
     }
     file = folder / "config.json"
     file.write_text(json.dumps(config))
-    words = ["-m", "client_proxy.proxy"]
+    arguments = ["-m", "client_proxy.proxy"]
     if profile:
-        words = ["-m", "cProfile", "-o", profile, *words]
+        arguments = ["-m", "cProfile", "-o", profile, *arguments]
     env = {"LB_CONFIG": str(file), "LB_LISTEN": "", "LB_DISCOVERY": "", "LB_NAME": ""}
     daemon = subprocess.Popen(
-        [sys.executable, *words], cwd=ROOT, env=os.environ | env, stderr=(folder / "log").open("wb")
+        [sys.executable, *arguments], cwd=ROOT, env=os.environ | env, stderr=(folder / "log").open("wb")
     )
     wait_ready(("127.0.0.3", port))
     return daemon, port
@@ -312,54 +319,56 @@
     parser.add_argument("--requests", type=int, default=6000)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--connections", type=int, nargs="*", default=[1, 32, 128])
-    parser.add_argument("--profile", help="write the daemon's profile there (the figures are void then)")
+    parser.add_argument(
+        "--profile", help="write the daemon's profile there (profiling makes the figures invalid)"
+    )
     args = parser.parse_args()
     if args.part:
-        uvloop.run(part(*args.part))
+        uvloop.run(run_process(*args.part))
         return 0
     running: list[subprocess.Popen[bytes]] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
             server = spawn("-m", "benchmarks.overhead", "--part", "server", "")
             running.append(server)
-            direct = port_of(server)
-            relay = spawn("-m", "benchmarks.overhead", "--part", "relay", f"127.0.0.1:{direct}")
+            server_port = port_of(server)
+            relay = spawn("-m", "benchmarks.overhead", "--part", "relay", f"127.0.0.1:{server_port}")
             running.append(relay)
-            relayed = port_of(relay)
-            daemon, port = start_daemon(Path(folder), direct, args.profile)
+            relay_port = port_of(relay)
+            daemon, port = start_daemon(Path(folder), server_port, args.profile)
             running.append(daemon)
-            ways = {
-                "direct": (("127.0.0.1", direct), None),
-                "relay": (("127.0.0.1", relayed), relay.pid),
+            targets = {
+                "direct": (("127.0.0.1", server_port), None),
+                "relay": (("127.0.0.1", relay_port), relay.pid),
                 "daemon": (("127.0.0.3", port), daemon.pid),
             }
-            found: dict[str, Any] = {}
+            figures: dict[str, Any] = {}
             for connections in args.connections:
-                rounds: dict[str, list[dict[str, float]]] = {name: [] for name in ways}
+                rounds: dict[str, list[dict[str, float]]] = {name: [] for name in targets}
                 for _ in range(args.rounds):
-                    for name, (address, pid) in ways.items():
+                    for name, (address, pid) in targets.items():
                         rounds[name].append(measure(address, pid, connections, args.requests))
-                found[str(connections)] = {
+                figures[str(connections)] = {
                     name: {
                         figure: {
-                            "median": round(median(each[figure] for each in of), 1),
-                            "least": round(min(each[figure] for each in of), 1),
-                            "most": round(max(each[figure] for each in of), 1),
+                            "median": round(median(each[figure] for each in measurements), 1),
+                            "least": round(min(each[figure] for each in measurements), 1),
+                            "most": round(max(each[figure] for each in measurements), 1),
                         }
-                        for figure in of[0]
+                        for figure in measurements[0]
                     }
-                    for name, of in rounds.items()
+                    for name, measurements in rounds.items()
                 }
             daemon.send_signal(signal.SIGTERM)
             daemon.wait(30)
-            children = resource.getrusage(resource.RUSAGE_CHILDREN).ru_maxrss // 1024
+            largest_child_mb = resource.getrusage(resource.RUSAGE_CHILDREN).ru_maxrss // 1024
         finally:
             for process in running:
                 if process.poll() is None:
                     process.kill()
                 process.wait()
-    told = {"seed": SEED, "cores": os.cpu_count(), "requests": args.requests, "rounds": args.rounds}
-    print(json.dumps({**told, "largest_child_mb": children, "connections": found}, indent=1))
+    header = {"seed": SEED, "cores": os.cpu_count(), "requests": args.requests, "rounds": args.rounds}
+    print(json.dumps({**header, "largest_child_mb": largest_child_mb, "connections": figures}, indent=1))
     return 0
 
 
