--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -272,7 +272,7 @@
 
 
 def cost(args: argparse.Namespace) -> list[dict[str, Any]]:
-    """Measures fleets under the same load without changes, in turn with a watched file and an agreed policy."""
+    """Measures fleets under the same load without changes, with a watched file and with an agreed policy."""
     rows = []
     with tempfile.TemporaryDirectory(prefix="cost-") as folder:
         for size in args.sizes:
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -100,6 +100,7 @@
 
 
 def role_table(role: Role, computed: Sequence[Computed], slopes: Slopes) -> str:
+    """Formats the table of a role with formulas, slopes and mechanisms."""
     head = ("quantity", "row", "formula", "measured slope", "at 680", "mechanism", "file")
     rows = [
         (
@@ -118,6 +119,7 @@
 
 
 def failure_table(slopes: Slopes, every: Sequence[Failure] = FAILURES) -> str:
+    """Formats the table of the planned failures."""
     head = ("failure", "what is lost", "for how long", "what bounds it", "run")
     return _markdown_table(
         head,
@@ -135,6 +137,7 @@
 
 
 def not_measured_list(computed: Sequence[Computed], slopes: Slopes) -> str:
+    """Formats the list of measurements that were not made, with their reasons."""
     lines = [f"- {name}: {reason}" for name, reason in sorted(slopes.not_measured.items())]
     return "\n".join(lines) or "Nothing."
 
--- a/benchmarks/capacity/row.py
+++ b/benchmarks/capacity/row.py
@@ -13,6 +13,8 @@
 
 
 class Role(Enum):
+    """The part of the fleet that bears a cost; the values are headings of the page."""
+
     DATA_PATH = "client proxy, data path"
     CONTROL_PART = "client proxy, control part"
     CONTROL_MACHINE = "control machine"
@@ -22,6 +24,8 @@
 
 
 class Kind(Enum):
+    """The kind of quantity; the values are printed on the page."""
+
     STATE = "state"
     MESSAGES = "messages"
     PROCESSOR = "processor"
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -69,10 +69,10 @@
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row.name)
 def test_every_row_has_a_measured_run_or_is_marked_not_measured(checked_in: Slopes, row: Row) -> None:
     assert row.needs
-    found = compute(row, checked_in)
-    if found.value is None:
-        assert found.reason
-        assert f"{NOT_MEASURED}: {found.reason}" in PAGE.read_text()
+    result = compute(row, checked_in)
+    if result.value is None:
+        assert result.reason
+        assert f"{NOT_MEASURED}: {result.reason}" in PAGE.read_text()
         return
     for name in row.needs:
         run = checked_in.series.get(name) or checked_in.runs[name]
@@ -125,23 +125,23 @@
         computed_row("large", 30.0, 2.0),
         computed_row("late", 90.0, 2.0, loses=False),
     ]
-    assert [found.row.name for found in sort_by_ratio(rows)] == ["late", "large", "small", "free", "none"]
-    assert [found.row.name for found in service_losing_over_budget(rows)] == ["large"]
-    assert [found.row.name for found in other_over_budget(rows)] == ["late"]
+    assert [result.row.name for result in sort_by_ratio(rows)] == ["late", "large", "small", "free", "none"]
+    assert [result.row.name for result in service_losing_over_budget(rows)] == ["large"]
+    assert [result.row.name for result in other_over_budget(rows)] == ["late"]
     assert first_to_fix(rows).startswith("1. large")
     assert "| none | " in ratio_table(rows)
 
 
 def test_a_row_from_before_a_fix_counts_only_among_the_rows_before_fixes() -> None:
-    today = computed_row("lists", 1.0, 2.0)
-    past = computed_row("lists before", 30.0, 2.0)
-    past = replace(past, row=replace(past.row, replaced_by="lists"))
-    rows = [today, past, computed_row("other", 4.0, 2.0)]
-    assert [found.row.name for found in service_losing_over_budget(rows_before_fixes(rows))] == [
+    current_row = computed_row("lists", 1.0, 2.0)
+    row_before_fix = computed_row("lists before", 30.0, 2.0)
+    row_before_fix = replace(row_before_fix, row=replace(row_before_fix.row, replaced_by="lists"))
+    rows = [current_row, row_before_fix, computed_row("other", 4.0, 2.0)]
+    assert [result.row.name for result in service_losing_over_budget(rows_before_fixes(rows))] == [
         "lists before",
         "other",
     ]
-    assert [found.row.name for found in service_losing_over_budget(current_rows(rows))] == ["other"]
+    assert [result.row.name for result in service_losing_over_budget(current_rows(rows))] == ["other"]
 
 
 def test_rows_from_before_a_fix_name_a_current_row() -> None:
--- a/tests/capacity/test_scale_report.py
+++ b/tests/capacity/test_scale_report.py
@@ -19,13 +19,13 @@
 
 
 def report(**changed: Any) -> dict[str, Any]:
-    quiet = {
+    quiet_day = {
         "name": "quiet",
         "kind": "quiet",
         "figures": [figure("processor time", "real instance, control alone", 0.5)],
         "without_lease": {},
     }
-    cut = {
+    region_cut_day = {
         "name": "region-cut",
         "kind": "region-cut",
         "figures": [],
@@ -34,28 +34,34 @@
             "west": figure("without a lease", "hollow follower", 88.0),
         },
     }
-    busy = {
+    changes_day = {
         "name": "crowded",
         "kind": "changes",
         "figures": [figure("change in force everywhere", "", 1.2)],
         "without_lease": {},
     }
-    made = {"plan": "two-years", "outcome": "passed", "why": "", "instances": 680, "days": [quiet, busy, cut]}
-    return made | changed
+    complete_report = {
+        "plan": "two-years",
+        "outcome": "passed",
+        "why": "",
+        "instances": 680,
+        "days": [quiet_day, changes_day, region_cut_day],
+    }
+    return complete_report | changed
 
 
 def test_figures_are_converted_to_the_units_of_the_slopes() -> None:
-    found = extract_runs(report(), 680, "the command")
-    assert set(found) == {"control_part_core", "region_refused_s", "change_last_ms_680"}
-    assert found["control_part_core"] == {"command": "the command", "unit": "of a core", "value": 0.005}
-    assert found["region_refused_s"]["value"] == 176.0
-    assert found["change_last_ms_680"]["value"] == 1200.0
+    runs = extract_runs(report(), 680, "the command")
+    assert set(runs) == {"control_part_core", "region_refused_s", "change_last_ms_680"}
+    assert runs["control_part_core"] == {"command": "the command", "unit": "of a core", "value": 0.005}
+    assert runs["region_refused_s"]["value"] == 176.0
+    assert runs["change_last_ms_680"]["value"] == 1200.0
 
 
 def test_a_day_with_losses_is_not_counted_as_one_without() -> None:
-    troubled = {**report()["days"][1], "name": "crowded-troubled"}
-    found = extract_runs(report(days=[troubled]), 680, "the command")
-    assert found == {"loss_change_s": {"command": "the command", "unit": "s", "value": 2.4}}
+    faulty_day = {**report()["days"][1], "name": "crowded-troubled"}
+    runs = extract_runs(report(days=[faulty_day]), 680, "the command")
+    assert runs == {"loss_change_s": {"command": "the command", "unit": "s", "value": 2.4}}
 
 
 @pytest.mark.parametrize("changed", [{"outcome": "refused", "why": "too busy"}, {"instances": 25}])
@@ -80,7 +86,7 @@
     series.write_text(json.dumps({"series": {"old.a": {"command": "run"}, "other.b": {"command": "run"}}}))
     command.merge_runs(slopes, [report_file], "abc")
     command.merge_series(slopes, [series], ["old", "new"], "abc")
-    kept = json.loads(slopes.read_text())
-    assert kept["not_measured"] == {}
-    assert kept["runs"]["control_part_core"]["command"].endswith("two-years.toml (on abc)")
-    assert kept["series"] == {"new.a": {"command": "run (on abc)"}, "other.b": {"command": "run (on abc)"}}
+    content = json.loads(slopes.read_text())
+    assert content["not_measured"] == {}
+    assert content["runs"]["control_part_core"]["command"].endswith("two-years.toml (on abc)")
+    assert content["series"] == {"new.a": {"command": "run (on abc)"}, "other.b": {"command": "run (on abc)"}}
