--- a/client_proxy/balancer/idle_connections.py
+++ b/client_proxy/balancer/idle_connections.py
@@ -11,7 +11,7 @@
 LOSS_MEMORY_MS = 60_000.0  # after this long without a loss, idle connections are trusted again
 
 
-class EndpointConnection(Protocol):
+class EndpointActivity(Protocol):
     """The attributes of an endpoint that are used here."""
 
     in_flight: int
@@ -23,7 +23,7 @@
     """The attributes of an ended attempt that are used here."""
 
     @property
-    def endpoint(self) -> EndpointConnection:
+    def endpoint(self) -> EndpointActivity:
         """The endpoint that it was sent to."""
 
     @property
@@ -60,7 +60,7 @@
         self._consecutive_timeouts = 0
         self._last_loss_ms = 0.0
 
-    def idle_ms_of(self, endpoint: EndpointConnection, now_ms: float) -> float | None:
+    def idle_ms_of(self, endpoint: EndpointActivity, now_ms: float) -> float | None:
         """How long the connection for the next send has been idle, in ms; None: a new or busy connection."""
         if endpoint.in_flight or endpoint.last_used_ms is None:
             return None
--- a/client_proxy/emulator/emulated_server.py
+++ b/client_proxy/emulator/emulated_server.py
@@ -141,7 +141,7 @@
         for proxy, listener in enumerate(self.listeners):
             listener.open()
             if proxy in self.partitioned_from:
-                listener.hold()
+                listener.ignore_dials()
 
     def kill(self) -> None:
         """End the process at once: connections are reset, dials are refused, and its requests are lost."""
@@ -194,7 +194,7 @@
         self.vanished = True
         self.freeze()
         for listener in self.listeners:
-            listener.hold()
+            listener.ignore_dials()
 
     def reappear(self, incarnation: int) -> None:
         """End the cut from the network, unless the process that vanished, `incarnation`, has ended."""
@@ -211,7 +211,7 @@
         for proxy in proxies:
             self._partitions.begin(proxy)
             if self.up:
-                self.listeners[proxy].hold()
+                self.listeners[proxy].ignore_dials()
 
     def heal_partition(self, proxies: tuple[int, ...]) -> None:
         """End one partition from each of these proxies."""
--- a/client_proxy/emulator/fault_schedule.py
+++ b/client_proxy/emulator/fault_schedule.py
@@ -208,7 +208,7 @@
     fault.describe(f"silent {fault.number}")
 
 
-def _cut_zone_off(fault: DrawnFault) -> None:
+def _cut_server_off_from_zone(fault: DrawnFault) -> None:
     zone = ZONES[fault.number % len(ZONES)]
     fault.set_on_server("unreachable_from", {zone}, set())
     fault.describe(f"{zone} cut off from a server")
@@ -246,7 +246,7 @@
     _change_clock,
     _fail_server,
     _stall_server,
-    _cut_zone_off,
+    _cut_server_off_from_zone,
     _replay_datagrams,
 )
 """The kinds of faults; a change of their order would change the schedule of each seed."""
--- a/client_proxy/emulator/listeners.py
+++ b/client_proxy/emulator/listeners.py
@@ -1,7 +1,7 @@
 """Listeners of emulated servers and discovery, on real loopback sockets or in memory.
 
-A listener is open, held (its machine can't be reached) or closed (its process has ended), and keeps its
-address in all three states.
+A listener is open, ignores dials (its machine can't be reached) or is closed (its process has ended), and
+keeps its address in all three states.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 class Listener(Protocol):
     """A listening address.
 
-    While it is open, it accepts connections. While it is held, dials are not answered, as with a machine that
-    can't be reached. While it is closed, dials are refused, as after the end of a process.
+    While it is open, it accepts connections. While it ignores dials, they are not answered, as with a machine
+    that can't be reached. While it is closed, dials are refused, as after the end of a process.
     """
 
     address: Address
@@ -31,7 +31,7 @@
     def open(self) -> None:
         """Accept connections."""
 
-    def hold(self) -> None:
+    def ignore_dials(self) -> None:
         """Leave dials unanswered."""
 
     def close(self) -> None:
@@ -53,7 +53,7 @@
         else:
             self._listener.accept()
 
-    def hold(self) -> None:
+    def ignore_dials(self) -> None:
         """Leave dials unanswered."""
         if self._listener is not None:
             self._listener.hold()
@@ -65,14 +65,14 @@
             self._listener = None
 
 
-FILLER_CONNECTIONS = 4  # connections with which a held listener fills its own backlog
+FILLER_CONNECTIONS = 4  # connections with which a listener that ignores dials fills its own backlog
 
 
 class SocketListener:
     """A listening socket on a loopback address.
 
-    To be held, it stops accepting, sets its backlog to the shortest length and fills it with connections of
-    its own. The system then answers no further dial, as if the machine could not be reached. This needs no
+    To ignore dials, it stops accepting, sets its backlog to the shortest length and fills it with connections
+    of its own. The system then answers no further dial, as if the machine could not be reached. This needs no
     privileges.
     """
 
@@ -102,7 +102,7 @@
             self._loop.add_reader(self._socket.fileno(), self._accept)
         self._close_fillers()
 
-    def hold(self) -> None:
+    def ignore_dials(self) -> None:
         """Leave dials unanswered."""
         if self._socket is None or not self._accepting:
             return
--- a/client_proxy/emulator/process_model.py
+++ b/client_proxy/emulator/process_model.py
@@ -316,7 +316,7 @@
 
     def offer(self, request: ServerRequest) -> Admission:
         """Offer a request that has arrived completely; return whether the server accepted it."""
-        if self._cold_since_s is not None and self._is_overloaded_while_cold(
+        if self._cold_since_s is not None and self._record_work_while_cold(
             request.arrived_s, request.work_ms
         ):
             self.crashed = True
@@ -326,10 +326,10 @@
         self.queued.append(request)
         return Admission.ACCEPTED
 
-    def _is_overloaded_while_cold(self, now_s: float, work_ms: float) -> bool:
-        """Count work that arrives while the server warms up; return whether it overloads the server.
+    def _record_work_while_cold(self, now_s: float, work_ms: float) -> bool:
+        """Record work that arrives while the server warms up; return whether the work overloads the server.
 
-        Work that the server rejects counts too.
+        Work that the server rejects counts too. Once the server is warm, the record is cleared.
         """
         warmth = self.warmth(now_s)
         if warmth >= 1.0:
--- a/client_proxy/fault_injection/fault_proxy.py
+++ b/client_proxy/fault_injection/fault_proxy.py
@@ -234,7 +234,7 @@
             return
         self.relay_listener.open()
         if any(direction.silent for direction in self.directions):
-            self.relay_listener.hold()  # a TCP handshake needs both directions
+            self.relay_listener.ignore_dials()  # a TCP handshake needs both directions
 
     def summary(self) -> Json:
         """Return the counts of the link and of both directions."""
--- a/client_proxy/fault_injection/soak/rules.py
+++ b/client_proxy/fault_injection/soak/rules.py
@@ -36,7 +36,7 @@
     return [Breach(name, what) for name, rule in RULES.items() for what in rule(schedule, history)]
 
 
-def _one_answer(schedule: Schedule, history: History) -> Iterator[str]:
+def _check_one_answer(schedule: Schedule, history: History) -> Iterator[str]:
     """Each request that a server read, or that came on an open connection, gets exactly one final answer."""
     seen_ids = {arrival.trace_id for arrival in history.arrivals}
     for request in history.requests.values():
@@ -58,7 +58,7 @@
         yield f"connection {connection}: bytes that are not HTTP at {at_s:.3f} s"
 
 
-def _own_answer(schedule: Schedule, history: History) -> Iterator[str]:
+def _check_own_answer(schedule: Schedule, history: History) -> Iterator[str]:
     """Each answer of a server belongs to its request: servers answer with the trace id."""
     for request in history.requests.values():
         for answer in request.answers:
@@ -66,7 +66,7 @@
                 yield f"{request.trace_id}: got the answer {answer.body[:60]!r}"
 
 
-def _accepts_connections(schedule: Schedule, history: History) -> Iterator[str]:
+def _check_connections_accepted(schedule: Schedule, history: History) -> Iterator[str]:
     """New connections are accepted to the schedule's end, unless idle ones use up the descriptors."""
     if not schedule.crowd:
         for at_s in history.refused_connections_s:
@@ -107,7 +107,7 @@
     return due_s
 
 
-def _in_time(schedule: Schedule, history: History) -> Iterator[str]:
+def _check_in_time(schedule: Schedule, history: History) -> Iterator[str]:
     """No answer is later than its deadline by more than half a second."""
     due_s = _due_s(history)
     for request in history.requests.values():
@@ -117,7 +117,7 @@
                 yield f"{request.trace_id}: answered {answer.status} {late_s:.2f} s after its deadline"
 
 
-def _nothing_for_clients_that_left(schedule: Schedule, history: History) -> Iterator[str]:
+def _check_nothing_for_clients_that_left(schedule: Schedule, history: History) -> Iterator[str]:
     """No attempt is sent for a client that has closed its connection."""
     for arrival in history.arrivals:
         request = history.requests.get(arrival.trace_id)
@@ -128,7 +128,7 @@
             yield f"{arrival.trace_id}: sent to {arrival.server} {late_s:.3f} s after its client had left"
 
 
-def _stated_time_left(schedule: Schedule, history: History) -> Iterator[str]:
+def _check_stated_time_left(schedule: Schedule, history: History) -> Iterator[str]:
     """The time left that an attempt states is at most what its client still waits, plus the tolerance."""
     for arrival in history.arrivals:
         request = history.requests.get(arrival.trace_id)
@@ -140,7 +140,7 @@
             yield f"{arrival.trace_id}: stated {arrival.stated_time_left_s:.3f} s with {left_s:.3f} s left"
 
 
-def _repeats(schedule: Schedule, history: History) -> Iterator[str]:
+def _check_repeats(schedule: Schedule, history: History) -> Iterator[str]:
     """A request that may have run is repeated only as its class allows."""
     classes = {request_class.name: request_class for request_class in schedule.classes}
     by_request: dict[str, list[Arrival]] = defaultdict(list)
@@ -166,7 +166,7 @@
             yield later
 
 
-def _exit_code(schedule: Schedule, history: History) -> Iterator[str]:
+def _check_exit_code(schedule: Schedule, history: History) -> Iterator[str]:
     """A proxy exits with 0 or by the harness's kill; by SIGTERM only if it got that while it started."""
     for end in history.ends:
         allowed = {0}
@@ -180,7 +180,7 @@
             yield f"a traceback: {end.log[-300:]}"
 
 
-def _resources(schedule: Schedule, history: History) -> Iterator[str]:
+def _check_resources(schedule: Schedule, history: History) -> Iterator[str]:
     """Without clients a proxy has no more descriptors and threads than before the first client."""
     if len(history.resources) < 2:
         return
@@ -194,13 +194,13 @@
 Rule = Callable[[Schedule, History], Iterator[str]]
 
 RULES: dict[str, Rule] = {
-    "one answer": _one_answer,
-    "own answer": _own_answer,
-    "accepts": _accepts_connections,
-    "in time": _in_time,
-    "client left": _nothing_for_clients_that_left,
-    "told time": _stated_time_left,
-    "repeats": _repeats,
-    "exit": _exit_code,
-    "resources": _resources,
+    "one answer": _check_one_answer,
+    "own answer": _check_own_answer,
+    "accepts": _check_connections_accepted,
+    "in time": _check_in_time,
+    "client left": _check_nothing_for_clients_that_left,
+    "told time": _check_stated_time_left,
+    "repeats": _check_repeats,
+    "exit": _check_exit_code,
+    "resources": _check_resources,
 }
--- a/client_proxy/fault_injection/soak/schedule.py
+++ b/client_proxy/fault_injection/soak/schedule.py
@@ -165,7 +165,7 @@
         stops_s=_draw_stops(random, kill_s),
         reloads_s=_draw_reloads(random, terminate_s),
         terminate_s=terminate_s,
-        series=_draw_series(random, terminate_s, kill_s, hangup, terminate),
+        series=_draw_signals(random, terminate_s, kill_s, hangup, terminate),
         accept_s=accept_s,
         early_terminations_s=tuple(
             random.uniform(0.0, MAX_EARLY_TERMINATION_S) for _ in range(random.choice((0, 0, 1)))
@@ -257,7 +257,7 @@
     return tuple(reload_s for reload_s in reloads if reload_s < terminate_s)
 
 
-def _draw_series(
+def _draw_signals(
     random: Random, terminate_s: float, kill_s: float, hangup: int, terminate: int
 ) -> tuple[SignalPlan, ...]:
     series: list[SignalPlan] = []
--- a/client_proxy/fault_injection/versions.py
+++ b/client_proxy/fault_injection/versions.py
@@ -121,7 +121,9 @@
     requests, breaches = observe_requests(plan, records, decided)
     all_breaches += breaches
     if plan.fleet.stale == "serve":
-        return all_breaches  # instances serve without a lease, so W is not promised
+        # Instances serve without a lease, so the time for which an older version may stay in use
+        # (`overlap_s`) has no bound.
+        return all_breaches
     used_from_s = {number: version.decided_by_s for number, version in decided.items()}
     for request in requests:
         oldest = min(request.by)
--- a/client_proxy/limits/pacing.py
+++ b/client_proxy/limits/pacing.py
@@ -37,7 +37,8 @@
 SAVED_ROUNDS = 3.0  # rounds of credit that may be saved
 INITIAL_CREDIT_ROUNDS = 0.0  # rounds; instances that start together begin with one request each
 DEBT_ROUNDS = 3.0  # most rounds of debt: one request at a hung endpoint must not block the others for long
-SPARE_CREDIT_ROUNDS = 1.0  # rounds of credit from which on no request is rejected for its class's share
+# With at least this many rounds of credit, no request is rejected because its class has used up its share.
+SPARE_CREDIT_ROUNDS = 1.0
 # Mean fraction of the usual latency that a request in flight still takes.
 REMAINING_LATENCY_SHARE = 0.5
 CUT_RATE_SHARE = 0.4  # fraction of the stated cut per second
--- a/client_proxy/limits/settings.py
+++ b/client_proxy/limits/settings.py
@@ -30,7 +30,7 @@
         )
 
 
-def read_overload(t: Table) -> OverloadSettings:
+def parse_overload_settings(t: Table) -> OverloadSettings:
     """Return the settings in the table `t`; faults are noted there, with their keys."""
     defaults = OverloadSettings()
     least_table = t.table("least")
--- a/client_proxy/membership/gossip.py
+++ b/client_proxy/membership/gossip.py
@@ -68,7 +68,9 @@
 
     @classmethod
     def from_config(cls, config: InstanceConfig, gossip_settings: GossipSettings, keyring: Keyring) -> Gossip:
-        """Create gossip, using the platform's addresses where the gossip settings contain none.
+        """Create the gossip node.
+
+        Its listen address and seeds default to `peer_listen` and `peers` of the instance configuration.
 
         Raises:
             OSError: the address cannot be bound.
--- a/client_proxy/operators.py
+++ b/client_proxy/operators.py
@@ -10,13 +10,13 @@
 from client_proxy.api.policy_hook import BalancerHook, CompositeHook, member_hooks
 from client_proxy.api.settings import Settings
 from client_proxy.limits.load_shedding import LoadShedding
-from client_proxy.limits.settings import OverloadSettings, read_overload
+from client_proxy.limits.settings import OverloadSettings, parse_overload_settings
 from client_proxy.optional_dependencies import missing_packages_message
 from client_proxy.outlier.ejection_hook import EjectionHook
 from client_proxy.outlier.settings import OutlierSettings, parse_outlier_settings
-from client_proxy.routing.idle_timeout import ConnectionSettings, read_connections
+from client_proxy.routing.idle_timeout import ConnectionSettings, parse_connection_settings
 from client_proxy.routing.locality.router import LocalityRouter
-from client_proxy.routing.settings import LocalitySettings, read_locality
+from client_proxy.routing.settings import LocalitySettings, parse_locality_settings
 from client_proxy.toml_table import File, Table, TomlError, read_text
 
 if TYPE_CHECKING:
@@ -94,9 +94,9 @@
 def read_features(top: Table) -> OperatorSettings:
     """Reads the features that a policy can set. The file collects the faults."""
     return OperatorSettings(
-        halls=read_locality(top.table("halls")) if top.has("halls") else None,
-        overload=read_overload(top.table("overload")) if top.has("overload") else None,
-        connections=read_connections(top.table("connections")) if top.has("connections") else None,
+        halls=parse_locality_settings(top.table("halls")) if top.has("halls") else None,
+        overload=parse_overload_settings(top.table("overload")) if top.has("overload") else None,
+        connections=parse_connection_settings(top.table("connections")) if top.has("connections") else None,
         reach=parse_outlier_settings(top.table("reach")) if top.has("reach") else None,
     )
 
--- a/client_proxy/proxy/connection_limits.py
+++ b/client_proxy/proxy/connection_limits.py
@@ -10,7 +10,7 @@
 from client_proxy.proxy.client_connection import ClientConnection
 from client_proxy.proxy.connection_context import ConnectionState
 
-EVICTION_CANDIDATES = 8  # connections of a state that are tried when one has to be closed
+EVICTION_CANDIDATES = 8  # oldest connections of a state that are asked to close when one has to be closed
 CONNECTION_HEADROOM = 32  # connections over the limit that are accepted while all others are busy
 MAX_PIPELINED_BYTES = 8 * 1024 * 1024  # pipelined bytes of all connections
 
--- a/client_proxy/proxy/engine.py
+++ b/client_proxy/proxy/engine.py
@@ -114,7 +114,9 @@
         self._incarnation = 0  # number of the balancer here; timers of earlier balancers are ignored
         self._operators = operators
         self._client_retries = self._make_client_retries(predecessor)
-        self._successor: InFlightHandover | None = None  # counts attempts in flight here at the active engine
+        # Tells the active engine about the attempts that this one still starts or has in flight; None while
+        # this engine is active.
+        self._successor: InFlightHandover | None = None
         self._on_drained: Callable[[], None] | None = None
         self.restore_snapshot: Callable[[Balancer], None] | None = None
         self.retired_endpoint_names: Callable[[], Set[str]] | None = None
--- a/client_proxy/routing/idle_timeout.py
+++ b/client_proxy/routing/idle_timeout.py
@@ -37,7 +37,7 @@
     max_dials_per_s: float | None = None  # key `opens_per_s`; None: no limit
 
 
-def read_connections(table: Table) -> ConnectionSettings:
+def parse_connection_settings(table: Table) -> ConnectionSettings:
     """Return the settings in the table; faults are noted there, with their keys."""
     default = ConnectionSettings()
     settings = ConnectionSettings(
--- a/client_proxy/routing/locality/recovery_ramp.py
+++ b/client_proxy/routing/locality/recovery_ramp.py
@@ -35,12 +35,12 @@
         zone.move_to(ZoneState.RECOVERING, now_ms, reason)
         zone.consecutive_unanswered = 0
         zone.loss_share = 0.0
-        zone.ramp_share = self._locality_settings.ramp_start_share / self._factor(now_ms, zone)
+        zone.ramp_share = self._locality_settings.ramp_start_share / self._ramp_length_factor(now_ms, zone)
         zone.ramp_ms = zone.ramp_held_until_ms = now_ms
         zone.slowness = 1.0
         zone.recovery_limit = RateLimit()
 
-    def _factor(self, now_ms: float, zone: Zone) -> float:
+    def _ramp_length_factor(self, now_ms: float, zone: Zone) -> float:
         """Return the factor on the ramp's length: each further recent outage doubles it."""
         since_ms = now_ms - 1000.0 * self._locality_settings.memory_s
         recent = sum(1 for at_ms in zone.outages_ms if at_ms > since_ms)
@@ -53,7 +53,7 @@
         warmed up, not that it has failed: its share is reduced, and it stays in recovery. Slowness is
         smoothed, because one answer in ten is slow only for the work of its request.
         """
-        ramp_ms = 1000.0 * self._locality_settings.ramp_s * self._factor(now_ms, zone)
+        ramp_ms = 1000.0 * self._locality_settings.ramp_s * self._ramp_length_factor(now_ms, zone)
         zone.slowness += SLOWNESS_SMOOTHING * (slowness - zone.slowness)
         if zone.slowness > self._locality_settings.ramp_max_slowness:
             if now_ms >= zone.ramp_held_until_ms:
--- a/client_proxy/routing/settings.py
+++ b/client_proxy/routing/settings.py
@@ -46,7 +46,7 @@
         return (*stated, unnamed) if unnamed else stated
 
 
-def read_locality(table: Table) -> LocalitySettings:
+def parse_locality_settings(table: Table) -> LocalitySettings:
     """Return the settings in the table; faults are noted there, with their keys."""
     default = LocalitySettings()
     near_table, spill_table = table.table("near"), table.table("spill")
--- a/client_proxy/scale/measure.py
+++ b/client_proxy/scale/measure.py
@@ -313,7 +313,7 @@
 
 
 def lease_measurements(layout: Layout, without_s: Mapping[str, float]) -> dict[str, Measurement]:
-    """Returns the seconds without a lease of hollow followers, by region."""
+    """Returns how long hollow followers were without a lease, in s, by region."""
     by_region: dict[str, list[float]] = defaultdict(list)
     for placement in layout.placements:
         if placement.role is Role.FOLLOWER and placement.name in without_s:
--- a/client_proxy/scale/phases.py
+++ b/client_proxy/scale/phases.py
@@ -25,7 +25,7 @@
         self.events = DayEvents()
         self.begin_s = time.monotonic()
 
-    async def play(self) -> None:
+    async def run_to_end(self) -> None:
         """Runs the day to its end. Raises HollowLost, HollowUnresponsive or RigError."""
         actions: dict[str, Callable[[], Awaitable[None]]] = {
             "quiet": self._stay_quiet,
--- a/client_proxy/scale/run.py
+++ b/client_proxy/scale/run.py
@@ -45,7 +45,7 @@
         real = plan.real.instances + plan.real.plain
         self.report = Report(plan.name, plan.seed, plan.instances, plan.control, real, layout.process_count())
 
-    async def play(self) -> None:
+    async def run_async(self) -> None:
         """Runs the whole plan. Raises HollowLost, HollowUnresponsive or RigError."""
         self._show_progress(
             f"starting {self.report.processes} processes, {self._plan.instances} hollow instances"
@@ -79,7 +79,7 @@
     async def _play_day(self, number: int, day: DayTable) -> DayReport:
         before = await self._record_day_start()
         course = DayCourse(self.fleet, day, number)
-        await course.play()
+        await course.run_to_end()
         samples = await self.fleet.sample()
         length_s = time.monotonic() - before.at_s
         calls = await self._take_calls()
@@ -185,7 +185,7 @@
             self.report.why = f"the machine was too busy, {len(busy)} times: {busy[0]}"
 
 
-async def play(plan: ScalePlan, folder: Path, show_progress: ShowProgress = lambda _: None) -> Report:
+async def run_async(plan: ScalePlan, folder: Path, show_progress: ShowProgress = lambda _: None) -> Report:
     """Does what `run` does, within an event loop."""
     check_size(plan)
     start_s = time.monotonic()
@@ -194,7 +194,7 @@
     report = this_run.report
     try:
         try:
-            await this_run.play()
+            await this_run.run_async()
         except HollowUnresponsive as unresponsive:
             report.outcome, report.why = this_run.classify_unresponsive(str(unresponsive))
         finally:
@@ -218,4 +218,4 @@
     Raises:
         PlanRefused: the plan is too large for the machine.
         OSError: the folder can't be created, or all address blocks are in use."""
-    return asyncio.run(play(plan, folder, show_progress))
+    return asyncio.run(run_async(plan, folder, show_progress))
--- a/tests/emulator/test_faults.py
+++ b/tests/emulator/test_faults.py
@@ -14,7 +14,7 @@
 from client_proxy.emulator.report import Report
 from client_proxy.emulator.simulation import Simulation, SimulationResult
 from client_proxy.emulator.virtual import Scheduler
-from tests.support.days import KEYED, KIND, UNSAFE, day, incident, played
+from tests.support.days import KEYED, KIND, UNSAFE, day, incident, simulate_scenario
 from tests.support.raw_client import RawClient, on_both_clocks, request, until
 
 
@@ -31,7 +31,7 @@
 
 
 def test_a_calm_day_serves_all_requests_and_keeps_the_rules() -> None:
-    result, report = played()
+    result, report = simulate_scenario()
     assert not report.broken
     assert not report.crashed
     for class_report in report.classes.values():
@@ -46,7 +46,7 @@
 
 
 def test_a_stated_share_of_requests_fails_for_the_stated_time() -> None:
-    result, report = played(
+    result, report = simulate_scenario(
         incidents=incident("fail", 2.0, for_s=3.0, servers=["east-1"], share=0.5, classes=[KEYED]),
         clients="proxies = 2\nrate_per_s = 120",
     )
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("mode", ["reset", "silent", "spoilt"])
 def test_broken_missing_and_spoilt_responses_are_never_served(mode: str) -> None:
-    result, report = played(
+    result, report = simulate_scenario(
         incidents=incident("fail", 1.0, for_s=4.0, servers=["east-1"], share=0.4, mode=mode),
         clients="proxies = 2\nrate_per_s = 60",
     )
@@ -81,7 +81,7 @@
 
 
 def test_a_frozen_server_does_no_work_and_continues_afterwards() -> None:
-    result, report = played(incidents=incident("freeze", 2.0, for_s=1.0, servers=["east-1"]))
+    result, report = simulate_scenario(incidents=incident("freeze", 2.0, for_s=1.0, servers=["east-1"]))
     arrivals_during_fault = [
         arrival
         for arrival in result.event_log.arrivals
@@ -95,7 +95,7 @@
 
 
 def test_a_slow_server_takes_longer_by_the_stated_factor() -> None:
-    result, _ = played(incidents=incident("slow", 0.0, for_s=6.0, servers=["east-1"], times=5.0))
+    result, _ = simulate_scenario(incidents=incident("slow", 0.0, for_s=6.0, servers=["east-1"], times=5.0))
     for server, factor in (("east-1", 5.0), ("east-2", 1.0)):
         slowdowns = [
             1000.0
@@ -113,7 +113,7 @@
 
 
 def test_costly_requests_come_in_the_stated_share() -> None:
-    result, _ = played(
+    result, _ = simulate_scenario(
         incidents=incident("costly", 2.0, for_s=2.0, classes=[KEYED], share=0.3, times=10.0),
         clients="proxies = 2\nrate_per_s = 30",
     )
@@ -138,7 +138,7 @@
 
 def test_a_killed_server_restarts_cold_under_its_name() -> None:
     kind = KIND + "cold_from = 0.4\ncold_s = 3\n"
-    result, report = played(
+    result, report = simulate_scenario(
         incidents=incident("die", 2.0, for_s=2.0, servers=["east-1"]), kind=kind, length_s=10.0
     )
     assert not arrivals_between(result, "east-1", 2.01, 4.0)
@@ -153,7 +153,7 @@
 
 
 def test_a_drained_server_gets_no_new_work_after_the_grace_and_is_replaced() -> None:
-    result, report = played(
+    result, report = simulate_scenario(
         incidents=incident("replace", 1.0, for_s=4.0, servers=["west-2"], down_s=0.5), length_s=10.0
     )
     # Proxies are notified about 1.5 s after the drain began, and the grace of 1 s follows.
@@ -166,7 +166,7 @@
 def test_an_overloaded_server_rejects_requests_and_becomes_congested() -> None:
     kind = KIND.replace("queue_per_core = 10", "queue_per_core = 1")
     kind += "choke_at = 0.4\nchoke_over_s = 0.5\nchoke_slower = 3\nchoke_most_s = 4\n"
-    result, report = played(
+    result, report = simulate_scenario(
         clients="proxies = 6\nrate_per_s = 700\nretries = 0",
         kind=kind,
         incidents="",
@@ -182,7 +182,7 @@
 
 @pytest.mark.parametrize("mode", ["503", "silent", "reset"])
 def test_an_outage_of_discovery_delays_notifications_and_breaks_no_rule(mode: str) -> None:
-    _, report = played(
+    _, report = simulate_scenario(
         incidents=incident("discovery", 1.0, for_s=3.0, mode=mode)
         + incident("restart", 1.5, for_s=3.0, servers=["east-1"], down_s=0.5),
         length_s=10.0,
@@ -193,10 +193,10 @@
 
 
 def test_restarts_and_kills_of_proxies_break_no_rule() -> None:
-    _, restart_report = played(incidents=incident("proxy_restart", 2.0, stagger_s=1.5, down_s=0.2))
+    _, restart_report = simulate_scenario(incidents=incident("proxy_restart", 2.0, stagger_s=1.5, down_s=0.2))
     assert not restart_report.broken
     assert restart_report.served_share > 0.8
-    _, kill_report = played(incidents=incident("proxy_kill", 2.0, proxies=[1], down_s=0.2))
+    _, kill_report = simulate_scenario(incidents=incident("proxy_kill", 2.0, proxies=[1], down_s=0.2))
     assert not kill_report.broken
     assert sum(class_report.failed for class_report in kill_report.classes.values()) > 0
 
@@ -379,7 +379,7 @@
 
 
 def test_requests_take_the_delay_within_or_between_zones() -> None:
-    result, report = played(
+    result, report = simulate_scenario(
         more="", clients="proxies = 2\nrate_per_s = 40\n[net]\nsame_ms = 1\ncross_ms = 60"
     )
     delays_ms: dict[bool, list[float]] = {True: [], False: []}
--- a/tests/emulator/test_overload.py
+++ b/tests/emulator/test_overload.py
@@ -59,7 +59,7 @@
     assert min(window_shares(report)) > 0.93
 
 
-def test_a_flood_of_extracts_leaves_entries_untouched() -> None:
+def test_a_flood_of_one_class_does_not_reduce_the_served_share_of_the_other() -> None:
     report = run_day("overload-flood")
     assert served_share(report, ENTRY) > 0.985
     assert window_shares(report)[3] > 0.98  # the flood ended in the window before
--- a/tests/emulator/test_partitions.py
+++ b/tests/emulator/test_partitions.py
@@ -14,7 +14,7 @@
 from client_proxy.emulator.scenario_reader import load_scenario
 from client_proxy.emulator.simulation import Simulation, SimulationResult, simulate
 from client_proxy.operators import parse_operators
-from tests.support.days import incident, played
+from tests.support.days import incident, simulate_scenario
 from tests.support.raw_client import RawClient, on_both_clocks, request, until
 
 DAYS = Path(__file__).parents[2] / "examples" / "days"
@@ -88,7 +88,7 @@
 
 
 def test_a_zone_that_is_cut_off_serves_only_its_own_proxies() -> None:
-    result, report = played(incidents=incident("cut", 2.0, for_s=2.0, hall="west"), length_s=8.0)
+    result, report = simulate_scenario(incidents=incident("cut", 2.0, for_s=2.0, hall="west"), length_s=8.0)
     assert cross_zone_arrivals(result, 0.0, 1.99) > 0
     assert cross_zone_arrivals(result, 5.0, 8.0) > 0
     assert cross_zone_arrivals(result, 2.01, 3.99) == 0
@@ -101,7 +101,7 @@
 
 def test_a_cut_between_named_proxies_and_servers_stops_only_their_attempts() -> None:
     cut = incident("cut", 1.0, for_s=3.0, servers=["east-1"], proxies=[1])
-    result, _ = played(incidents=cut)
+    result, _ = simulate_scenario(incidents=cut)
     connected_proxies = {
         arrival.proxy
         for arrival in result.event_log.arrivals
@@ -111,7 +111,7 @@
 
 
 def test_lost_answers_belong_to_requests_that_ran() -> None:
-    result, report = played(
+    result, report = simulate_scenario(
         incidents=incident("fail", 1.0, for_s=4.0, servers=["east-1"], share=0.3, mode="lost")
     )
     lost = [arrival for arrival in result.event_log.arrivals if arrival.answer_lost]
--- a/tests/emulator/test_replay.py
+++ b/tests/emulator/test_replay.py
@@ -113,9 +113,9 @@
 
 
 def test_a_violated_rule_is_reported_as_text_and_on_the_page() -> None:
-    from tests.support.relay import play_relay
+    from tests.support.relay import simulate_with_relays
 
-    report = play_relay(day(length_s=3.0), "sends twice")
+    report = simulate_with_relays(day(length_s=3.0), "sends twice")
     assert "twice: " in format_report(report)
     assert "it may have run" in format_report(report)
     page = render_page(report)
--- a/tests/emulator/test_report.py
+++ b/tests/emulator/test_report.py
@@ -7,7 +7,7 @@
 from client_proxy.emulator.event_log import Arrival, AttemptOutcome, ClientAttempt, EventLog, ServerOutcome
 from client_proxy.emulator.report import event_log_digest
 from client_proxy.emulator.simulation import Simulation
-from tests.support.days import played
+from tests.support.days import simulate_scenario
 
 DIGESTS = {
     None: "c3f3a48f11982fdd",
@@ -52,4 +52,4 @@
 
     monkeypatch.setattr(Simulation, "_sample", fail_to_sample)
     with pytest.raises(RuntimeError, match="no sample"):
-        played(length_s=1.0)
+        simulate_scenario(length_s=1.0)
--- a/tests/emulator/test_rules.py
+++ b/tests/emulator/test_rules.py
@@ -16,7 +16,7 @@
 from client_proxy.emulator.rules import Placement, RuleCheck, check_rules
 from client_proxy.emulator.scenario import RuleSettings
 from tests.support.days import KEYED, KIND, UNSAFE, day, incident
-from tests.support.relay import play_relay
+from tests.support.relay import simulate_with_relays
 
 DRAIN = incident("drain", 1.0, for_s=10.5, servers=["east-1"])
 RULES_BY_FAULT = {
@@ -35,7 +35,9 @@
 
 @pytest.mark.parametrize("fault", RULES_BY_FAULT)
 def test_each_fault_of_a_proxy_violates_its_rule(fault: str) -> None:
-    report = play_relay(day(incidents=DRAIN, length_s=10.0, clients="proxies = 2\nrate_per_s = 20"), fault)
+    report = simulate_with_relays(
+        day(incidents=DRAIN, length_s=10.0, clients="proxies = 2\nrate_per_s = 20"), fault
+    )
     assert {rule for rule, count in report.rules.items() if count} == set(RULES_BY_FAULT[fault])
     assert report.broken is bool(RULES_BY_FAULT[fault])
     # Apart from its fault the relay serves requests.
@@ -48,7 +50,7 @@
     kind = KIND + "cold_from = 0.02\ncold_s = 60\n"
     one_server = "[[servers]]\nkind = 'quad'\nhall = 'east'\nrack = 1\n"
     servers = one_server + one_server + "from_s = 2\n"
-    report = play_relay(
+    report = simulate_with_relays(
         day(kind=kind, servers=servers, length_s=6.0, clients="proxies = 1\nrate_per_s = 60\nretries = 0"), ""
     )
     assert report.rules == {"lost": 0, "twice": 0, "drain": 0, "push": 1}
--- a/tests/scale_costs/test_costs.py
+++ b/tests/scale_costs/test_costs.py
@@ -105,7 +105,7 @@
     assert outages.control_machines_gone(3, size=20)["without_lease"] > outages.OUTAGE_S - 3.0
 
 
-def test_instances_restarted_at_once_decide_within_a_lease() -> None:
+def test_instances_restarted_simultaneously_hold_leases_again_within_a_lease_duration() -> None:
     found = outages.back_at_once(20, size=20)
     check_quantities(outages.BACK_AT_ONCE, found)
     assert 0.0 < found["last"] < 3.0
--- a/tests/support/days.py
+++ b/tests/support/days.py
@@ -74,7 +74,7 @@
     return parse_scenario(text(**given))  # type: ignore[arg-type]
 
 
-def played(**given: object) -> tuple[SimulationResult, Report]:
+def simulate_scenario(**given: object) -> tuple[SimulationResult, Report]:
     """Simulates a small scenario on the virtual clock; the arguments are those of `text`."""
     result = simulate(day(**given))
     return result, build_report(result)
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -156,7 +156,7 @@
             client.write_response(status, body)
 
 
-def play_relay(scenario: Scenario, fault: str) -> Report:
+def simulate_with_relays(scenario: Scenario, fault: str) -> Report:
     """Simulates the scenario with relays that have this fault in place of the proxies."""
     from client_proxy.emulator.listeners import MemoryListener
 
